--- a/src/libloomjunction/core/yieldingrate.h
+++ b/src/libloomjunction/core/adaptivetransferrate.h
@@ -1,5 +1,5 @@
 /*
- * yieldingrate.h
+ * adaptivetransferrate.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -17,29 +17,29 @@
  * their latency rises over what it is without a transfer, and grows back when
  * that has passed. Owned by the agent's weights service.
  */
-class YieldingRate
+class AdaptiveTransferRate
 {
 public:
     /** @p fullRate in bytes a second; zero means no limit and no yielding. */
-    explicit YieldingRate(double fullRate);
+    explicit AdaptiveTransferRate(double fullRate);
 
     /** First-byte latency of a live request that has just been answered. */
-    void noteLatency(Microseconds latency, bool isTransferring);
+    void addLatency(Microseconds latency, bool isTransferring);
 
     /** The rate to use now, in bytes a second. */
     double rate(Instant now);
 
     /** It never yields below this part of the full rate, so that a rollout ends. */
-    static constexpr double sLeastShare = 0.1;
+    static constexpr double sMinRateFraction = 0.1;
 
 private:
     void adjust();
 
     double mFullRate;
-    double mShare = 1.0;
-    double mQuietMicroseconds = 0; ///< smoothed latency without a transfer
-    double mRecentMicroseconds = 0; ///< smoothed latency of the last requests
-    Instant mLastAdjusted;
+    double mRateFraction = 1.0;
+    double mIdleLatencyMicroseconds = 0; ///< smoothed latency without a transfer
+    double mRecentLatencyMicroseconds = 0; ///< smoothed latency of the last requests
+    Instant mLastAdjustedAt;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/askplan.cpp
+++ b/src/libloomjunction/core/askplan.cpp
@@ -10,7 +10,7 @@
 
 #include "choicerandom.h"
 #include "rendezvous.h"
-#include "weightsgoal.h"
+#include "weightversiontracker.h"
 
 #include <algorithm>
 #include <iterator>
@@ -94,9 +94,9 @@
 bool AskPlan::isPromising(const Replica &replica) const
 {
     const bool isFar = replica.record.dataCentre != mQuery.dataCentre;
-    const bool isOverSoon = mQuery.weights != nullptr
-        && mQuery.weights->isOverSoon(mQuery.model, replica.weightsVersion(), mNow);
-    if (isFar && isOverSoon) {
+    const bool isCutoffNear = mQuery.weights != nullptr
+        && mQuery.weights->isCutoffNear(mQuery.model, replica.weightsVersion(), mNow);
+    if (isFar && isCutoffNear) {
         return false;
     }
     const bool isAway
--- a/src/libloomjunction/core/chunkplan.cpp
+++ b/src/libloomjunction/core/chunkplan.cpp
@@ -19,71 +19,71 @@
 namespace {
 
 // A swarm that brings nothing for this many times its usual gap has stalled.
-constexpr double sStallGaps = 10;
+constexpr double sStallIntervalFactor = 10;
 // Of the chunks, before the rest counts as late.
-constexpr double sMostFound = 0.75;
+constexpr double sMostAvailableFraction = 0.75;
 // Of the chunks, whose owners must have brought some before others seem silent.
-constexpr double sLeastActive = 0.5;
-constexpr double sGapWeight = 0.1;
-constexpr Microseconds sLeastTakeover{500'000};
+constexpr double sMinActiveFraction = 0.5;
+constexpr double sIntervalWeight = 0.1;
+constexpr Microseconds sMinTakeoverDelay{500'000};
 // Of the time that most chunks took: not there so much later, the rest is late.
-constexpr int sLatePart = 4;
+constexpr int sLateDivisor = 4;
 // Of the time that most chunks took: silent for so much longer, an owner is late.
-constexpr int sSilentPart = 8;
+constexpr int sSilenceDivisor = 8;
 // A chunk needs some time from the origin to those who wait for it.
-constexpr Microseconds sLeastSilence{150'000};
+constexpr Microseconds sMinSilence{150'000};
 // Of the chunks: with so many here, the rest are stragglers.
-constexpr double sTailPart = 0.85;
+constexpr double sTailFraction = 0.85;
 // Members that ask the origin for a straggler, one after the other.
-constexpr std::uint32_t sMostStepIn = 3;
+constexpr std::uint32_t sMaxTakeoverMembers = 3;
 // Until a chunk that came to any member is known of, at most.
-constexpr Microseconds sNewsTime{250'000};
+constexpr Microseconds sMaxAnnounceDelay{250'000};
 // After the first failure of a pull, which may be a spoilt copy that the next one
 // puts right, and the most after doubling, for an origin that is dead.
-constexpr Milliseconds sOriginRetry{25};
-constexpr Milliseconds sMostOriginRetry{400};
+constexpr Milliseconds sMinOriginBackoff{25};
+constexpr Milliseconds sMaxOriginBackoff{400};
 // Failures in a row that may be those of one connection; an origin that gives nothing
 // after them is away.
-constexpr std::uint32_t sOriginAway = 2;
+constexpr std::uint32_t sMaxTransientOriginFailures = 2;
 // A round over the chunks that an origin still owes: shorter ones would ask a dead one
 // without end, longer ones would leave its link idle after its return.
-constexpr Microseconds sLeastOriginRound{100'000};
-constexpr Microseconds sMostOriginRound{2'000'000};
-constexpr Milliseconds sBusyPause{20};
-constexpr Milliseconds sMissingPause{200};
-constexpr Milliseconds sGonePause{2'000};
-constexpr Milliseconds sCorruptPause{30'000};
+constexpr Microseconds sMinOriginRound{100'000};
+constexpr Microseconds sMaxOriginRound{2'000'000};
+constexpr Milliseconds sBusyBackoff{20};
+constexpr Milliseconds sMissingBackoff{200};
+constexpr Milliseconds sGoneBackoff{2'000};
+constexpr Milliseconds sCorruptBackoff{30'000};
 // Part of the neighbours that are picked from all members, so that data
 // centres stay connected with each other.
-constexpr std::uint32_t sFarEvery = 3;
+constexpr std::uint32_t sAnyDataCentreDivisor = 3;
 
-Milliseconds pauseAfter(ChunkFailure why)
+Milliseconds backoffAfter(ChunkFailure why)
 {
     switch (why) {
     case ChunkFailure::Busy:
-        return sBusyPause;
+        return sBusyBackoff;
     case ChunkFailure::Missing:
-        return sMissingPause;
+        return sMissingBackoff;
     case ChunkFailure::Corrupt:
-        return sCorruptPause;
+        return sCorruptBackoff;
     case ChunkFailure::Gone:
     case ChunkFailure::TimedOut:
-        return sGonePause;
+        return sGoneBackoff;
     }
-    return sGonePause;
+    return sGoneBackoff;
 }
 
 // The place of @p self among those who take @p key: the owner, then by weight.
-std::uint32_t rankOf(std::string_view key, std::span<const std::string> boxes, std::size_t owner,
-                     std::string_view self)
+std::uint32_t rankOf(std::string_view key, std::span<const std::string> boxes,
+                     std::size_t ownerIndex, std::string_view self)
 {
-    if (boxes[owner] == self) {
+    if (boxes[ownerIndex] == self) {
         return 0;
     }
     const std::uint64_t own = rendezvousWeight(key, self);
     std::uint32_t rank = 1;
     for (std::size_t other = 0; other < boxes.size(); ++other) {
-        const bool isBefore = other != owner && rendezvousWeight(key, boxes[other]) > own;
+        const bool isBefore = other != ownerIndex && rendezvousWeight(key, boxes[other]) > own;
         rank += isBefore ? 1 : 0;
     }
     return rank;
@@ -114,13 +114,13 @@
     , mSelf(std::move(self))
     , mOptions(options)
     , mChunks(chunkCount)
-    , mLastProgress(now)
-    , mBegun(now)
-    , mLastFound(now)
+    , mLastReceivedAt(now)
+    , mStartedAt(now)
+    , mLastAvailableAt(now)
     , mRandom(options.seed)
 {
     for (Chunk &chunk : mChunks) {
-        chunk.place = static_cast<std::uint32_t>(&chunk - mChunks.data());
+        chunk.index = static_cast<std::uint32_t>(&chunk - mChunks.data());
         chunk.tieBreak = static_cast<std::uint32_t>(mRandom());
     }
     setMembers({});
@@ -160,13 +160,13 @@
     }
     const std::vector<std::size_t> owners = evenOwners(keys, boxes);
     const std::vector<std::size_t> importers = evenOwners(keys, near);
-    mFoundOf.assign(mMembers.size(), 0);
+    mAvailableByOwner.assign(mMembers.size(), 0);
     for (std::uint32_t index = 0; index < mChunks.size(); ++index) {
         Chunk &chunk = mChunks[index];
-        chunk.owner = static_cast<std::uint32_t>(owners[index]);
+        chunk.ownerIndex = static_cast<std::uint32_t>(owners[index]);
         chunk.originRank = rankOf(keys[index], boxes, owners[index], mSelf.box);
         chunk.importRank = rankOf(keys[index], near, importers[index], mSelf.box);
-        mFoundOf[chunk.owner] += chunk.wasFound ? 1 : 0;
+        mAvailableByOwner[chunk.ownerIndex] += chunk.wasAvailable ? 1 : 0;
     }
 }
 
@@ -184,18 +184,19 @@
         }
     }
     const std::string key = mSelf.box + "/" + mDigest;
-    const std::uint32_t far = std::max<std::uint32_t>(1, mOptions.neighbours / sFarEvery);
+    const std::uint32_t far
+        = std::max<std::uint32_t>(1, mOptions.neighbourCount / sAnyDataCentreDivisor);
     std::vector<std::string> wanted;
     const auto want = [&](const std::string &box) {
         if (std::ranges::find(wanted, box) == wanted.end()) {
             wanted.push_back(box);
         }
     };
-    for (const std::size_t index : rendezvousOrder(key, near, mOptions.neighbours - far)) {
+    for (const std::size_t index : rendezvousOrder(key, near, mOptions.neighbourCount - far)) {
         want(near[index]);
     }
     for (const std::size_t index : rendezvousOrder(key, all, all.size())) {
-        if (wanted.size() >= mOptions.neighbours) {
+        if (wanted.size() >= mOptions.neighbourCount) {
             break;
         }
         want(all[index]);
@@ -217,7 +218,7 @@
     return {std::prev(self)->box};
 }
 
-bool ChunkPlan::isNear(std::string_view box) const
+bool ChunkPlan::isInOwnDataCentre(std::string_view box) const
 {
     const auto it = std::ranges::find(mMembers, box, &SwarmMember::box);
     return it != mMembers.end() && it->dataCentre == mSelf.dataCentre;
@@ -244,13 +245,13 @@
         }
         const std::string box = it->first;
         ++it;
-        peerGone(box);
+        clearPeerChunks(box);
         mPeers.erase(box);
     }
     for (const std::string &box : wanted) {
         Peer &peer = mPeers[box];
         peer.has.resize(mChunks.size());
-        peer.sameDataCentre = isNear(box);
+        peer.isSameDataCentre = isInOwnDataCentre(box);
     }
 }
 
@@ -263,7 +264,7 @@
     return boxes;
 }
 
-void ChunkPlan::peerHas(std::string_view box, std::uint32_t index, Instant now)
+void ChunkPlan::addPeerChunk(std::string_view box, std::uint32_t index, Instant now)
 {
     const auto it = mPeers.find(box);
     if (it == mPeers.end() || index >= mChunks.size() || it->second.has[index]) {
@@ -271,14 +272,14 @@
     }
     it->second.has[index] = true;
     Chunk &chunk = mChunks[index];
-    if (chunk.holders == 0 && chunk.state != State::Have) {
-        chunk.heldSince = now;
-        noteFound(chunk, now);
+    if (chunk.holderCount == 0 && chunk.state != State::Have) {
+        chunk.availableSince = now;
+        noteAvailable(chunk, now);
     }
-    ++chunk.holders;
+    ++chunk.holderCount;
 }
 
-void ChunkPlan::peerGone(std::string_view box)
+void ChunkPlan::clearPeerChunks(std::string_view box)
 {
     const auto it = mPeers.find(box);
     if (it == mPeers.end()) {
@@ -287,7 +288,7 @@
     for (std::uint32_t index = 0; index < mChunks.size(); ++index) {
         if (it->second.has[index]) {
             it->second.has[index] = false;
-            --mChunks[index].holders;
+            --mChunks[index].holderCount;
         }
     }
 }
@@ -295,86 +296,87 @@
 std::vector<ChunkFetch> ChunkPlan::next(Instant now)
 {
     std::vector<ChunkFetch> out;
-    planPeers(out, now);
-    planOrigin(out, now);
+    planPeerRequests(out, now);
+    planOriginRequests(out, now);
     return out;
 }
 
-Microseconds ChunkPlan::takeoverAfter() const
+Microseconds ChunkPlan::takeoverDelay() const
 {
-    if (mMeanGapMicroseconds <= 0) {
-        return mOptions.takeover;
+    if (mMeanIntervalMicroseconds <= 0) {
+        return mOptions.maxTakeoverDelay;
     }
-    const auto stalled = Microseconds(static_cast<std::int64_t>(mMeanGapMicroseconds * sStallGaps));
-    return std::clamp<Microseconds>(stalled, sLeastTakeover, mOptions.takeover);
+    const auto stalled
+        = Microseconds(static_cast<std::int64_t>(mMeanIntervalMicroseconds * sStallIntervalFactor));
+    return std::clamp<Microseconds>(stalled, sMinTakeoverDelay, mOptions.maxTakeoverDelay);
 }
 
 // Members hear of a version some tenths of a second after each other, and the last in
 // turn must not wait for that on top.
 // When all hear of a version so late that every turn has passed, as after an outage of
 // the store, turns begin then: all at once, they would be whole 1.5 s later.
-Instant ChunkPlan::firstTurn() const
+Instant ChunkPlan::firstOriginPullAt() const
 {
-    const Microseconds all = mOptions.originSpacing * static_cast<int>(mChunks.size());
-    const bool hasPassed = mOptions.originFrom + all <= mBegun;
-    return hasPassed ? mBegun : mOptions.originFrom;
+    const Microseconds all = mOptions.originPullInterval * static_cast<int>(mChunks.size());
+    const bool hasPassed = mOptions.originPullStart + all <= mStartedAt;
+    return hasPassed ? mStartedAt : mOptions.originPullStart;
 }
 
 // If all owners began at once, the origin's link would bring all chunks at the
 // same late moment, and until then boxes would have nothing to pass on.
-Instant ChunkPlan::originTurn(const Chunk &chunk) const
+Instant ChunkPlan::originPullAt(const Chunk &chunk) const
 {
-    return firstTurn() + mOptions.originSpacing * chunk.place;
+    return firstOriginPullAt() + mOptions.originPullInterval * chunk.index;
 }
 
-Instant ChunkPlan::originRetry(const Chunk &chunk, ChunkFailure why, Instant now) const
+Instant ChunkPlan::nextOriginRetryAt(const Chunk &chunk, ChunkFailure why, Instant now) const
 {
-    if (mIsOriginAway && why != ChunkFailure::Corrupt) {
-        return nextOriginRound(chunk, now);
+    if (mIsOriginUnavailable && why != ChunkFailure::Corrupt) {
+        return nextOriginRoundAt(chunk, now);
     }
-    const std::uint32_t doublings = std::min(chunk.originFailures - 1, 10U);
-    return now + std::min<Milliseconds>(sOriginRetry * (1 << doublings), sMostOriginRetry);
+    const std::uint32_t doublings = std::min(chunk.consecutiveOriginFailures - 1, 10U);
+    return now + std::min<Milliseconds>(sMinOriginBackoff * (1 << doublings), sMaxOriginBackoff);
 }
 
 // The time in which an origin that was away gives out what it still owes.
-Microseconds ChunkPlan::originRound() const
+Microseconds ChunkPlan::originRoundDuration() const
 {
     const auto owed = std::ranges::count_if(mChunks, [](const Chunk &chunk) {
-        return chunk.state != State::Have && chunk.holders == 0;
+        return chunk.state != State::Have && chunk.holderCount == 0;
     });
-    return std::clamp<Microseconds>(mOptions.originSpacing * owed, sLeastOriginRound,
-                                    sMostOriginRound);
+    return std::clamp<Microseconds>(mOptions.originPullInterval * owed, sMinOriginRound,
+                                    sMaxOriginRound);
 }
 
 // Where all ask an origin that was away again and again, they all find it back at once:
 // its link is shared by all chunks, which come at one late moment, and boxes have nothing
 // to pass on until then. In a round, whatever moment the origin returns at, its chunks
 // leave one after the other from there. Whoever steps in for an owner asks in few rounds.
-Instant ChunkPlan::nextOriginRound(const Chunk &chunk, Instant now) const
+Instant ChunkPlan::nextOriginRoundAt(const Chunk &chunk, Instant now) const
 {
     const auto isBefore = [&](const Chunk &other) {
-        return other.place < chunk.place && other.state != State::Have && other.holders == 0;
+        return other.index < chunk.index && other.state != State::Have && other.holderCount == 0;
     };
     const auto before = std::ranges::count_if(mChunks, isBefore);
-    const Microseconds round = originRound();
-    const Instant own = firstTurn() + (mOptions.originSpacing * before) % round;
-    const std::int64_t rounds = 1LL << 2 * std::min(chunk.originRank, sMostStepIn);
+    const Microseconds round = originRoundDuration();
+    const Instant own = firstOriginPullAt() + (mOptions.originPullInterval * before) % round;
+    const std::int64_t rounds = 1LL << 2 * std::min(chunk.originRank, sMaxTakeoverMembers);
     const Instant begin = own + round * (chunk.tieBreak % rounds);
     const Microseconds past = std::max<Microseconds>(now - begin, Microseconds(0));
     return begin + round * rounds * (past / (round * rounds) + 1);
 }
 
 // Chunks turn up again, and each owner has had its moment.
-bool ChunkPlan::isOriginBackFor(const Chunk &chunk, Instant now) const
+bool ChunkPlan::mayRetryReturnedOrigin(const Chunk &chunk, Instant now) const
 {
-    return !mIsOriginAway && mRoundOver != Instant()
-        && now >= mRoundOver + sNewsTime * static_cast<int>(chunk.originRank);
+    return !mIsOriginUnavailable && mReturnRoundEndsAt != Instant()
+        && now >= mReturnRoundEndsAt + sMaxAnnounceDelay * static_cast<int>(chunk.originRank);
 }
 
 bool ChunkPlan::mayPullFromOrigin(const Chunk &chunk, Instant now) const
 {
-    const bool isPaused = chunk.originRetryAt > now && !isOriginBackFor(chunk, now);
-    if (isPaused || originTurn(chunk) > now) {
+    const bool isPaused = chunk.originRetryAt > now && !mayRetryReturnedOrigin(chunk, now);
+    if (isPaused || originPullAt(chunk) > now) {
         return false;
     }
     switch (mOptions.policy) {
@@ -387,42 +389,44 @@
     }
     if (chunk.originRank < mOptions.originCopies) {
         // One copy is enough: who comes later takes it from those who have it.
-        return mOptions.originCopies > 1 || chunk.holders == 0;
+        return mOptions.originCopies > 1 || chunk.holderCount == 0;
     }
     const std::uint32_t turn = chunk.originRank / mOptions.originCopies;
-    return chunk.holders == 0 && isOverdueAtOrigin(chunk, turn, now);
+    return chunk.holderCount == 0 && isOverdueAtOrigin(chunk, turn, now);
 }
 
 // All members own about as many chunks and share the origin's link: whoever
 // brought none a while after the others were nearly done cannot reach the
 // origin, or is gone.
-std::optional<Instant> ChunkPlan::silentSince(const Chunk &chunk) const
+std::optional<Instant> ChunkPlan::ownerSilentSince(const Chunk &chunk) const
 {
-    if (!mOwnShareAt || !mSharesFoundAt || mFoundOf[chunk.owner] > 0) {
+    if (!mOwnShareStoredAt || !mActiveSharesAvailableAt
+        || mAvailableByOwner[chunk.ownerIndex] > 0) {
         return std::nullopt;
     }
-    const Instant found = std::max(*mOwnShareAt, *mSharesFoundAt);
-    const Instant done = std::max(found, originTurn(chunk) + mOptions.originSpacing);
-    return done + std::max<Microseconds>((done - mBegun) / sSilentPart, sLeastSilence);
+    const Instant found = std::max(*mOwnShareStoredAt, *mActiveSharesAvailableAt);
+    const Instant done = std::max(found, originPullAt(chunk) + mOptions.originPullInterval);
+    return done + std::max<Microseconds>((done - mStartedAt) / sSilenceDivisor, sMinSilence);
 }
 
 // Whether the owners that brought any chunk have brought most of theirs.
-bool ChunkPlan::areSharesFound() const
+bool ChunkPlan::areActiveSharesAvailable() const
 {
-    const auto isOfActive = [&](const Chunk &chunk) { return mFoundOf[chunk.owner] > 0; };
+    const auto isOfActive
+        = [&](const Chunk &chunk) { return mAvailableByOwner[chunk.ownerIndex] > 0; };
     const auto active = static_cast<double>(std::ranges::count_if(mChunks, isOfActive));
-    const double least = sLeastActive * static_cast<double>(mChunks.size());
-    return active >= least && mFoundCount >= sMostFound * active;
+    const double least = sMinActiveFraction * static_cast<double>(mChunks.size());
+    return active >= least && mAvailableCount >= sMostAvailableFraction * active;
 }
 
-void ChunkPlan::noteOwnShare(Instant now)
+void ChunkPlan::updateOwnShare(Instant now)
 {
     const auto isOwn = [](const Chunk &chunk) { return chunk.originRank == 0; };
     const auto isOpen
         = [&](const Chunk &chunk) { return isOwn(chunk) && chunk.state != State::Have; };
-    if (!mOwnShareAt && std::ranges::any_of(mChunks, isOwn)
+    if (!mOwnShareStoredAt && std::ranges::any_of(mChunks, isOwn)
         && std::ranges::none_of(mChunks, isOpen)) {
-        mOwnShareAt = now;
+        mOwnShareStoredAt = now;
     }
 }
 
@@ -432,37 +436,39 @@
 // up, the rest is late by the time that these took, each chunk for itself.
 bool ChunkPlan::isOverdueAtOrigin(const Chunk &chunk, std::uint32_t turn, Instant now) const
 {
-    if (const auto silent = silentSince(chunk)) {
-        return now - *silent >= sNewsTime * static_cast<int>(turn);
+    if (const auto silent = ownerSilentSince(chunk)) {
+        return now - *silent >= sMaxAnnounceDelay * static_cast<int>(turn);
     }
-    if (!mMostFoundAt) {
-        return now - mLastFound >= takeoverAfter() * static_cast<int>(turn);
+    if (!mMostAvailableAt) {
+        return now - mLastAvailableAt >= takeoverDelay() * static_cast<int>(turn);
     }
-    const Microseconds most = *mMostFoundAt - mBegun;
-    const Microseconds step = std::clamp<Microseconds>(most, sLeastTakeover, mOptions.takeover);
-    const Microseconds turned = originTurn(chunk) - mBegun;
+    const Microseconds most = *mMostAvailableAt - mStartedAt;
+    const Microseconds step
+        = std::clamp<Microseconds>(most, sMinTakeoverDelay, mOptions.maxTakeoverDelay);
+    const Microseconds turned = originPullAt(chunk) - mStartedAt;
     const Microseconds due = std::max<Microseconds>(
-        {most + most / sLatePart, sLeastTakeover, turned + turned / sLatePart});
-    return now - mBegun >= due + step * static_cast<int>(turn - 1);
+        {most + most / sLateDivisor, sMinTakeoverDelay, turned + turned / sLateDivisor});
+    return now - mStartedAt >= due + step * static_cast<int>(turn - 1);
 }
 
-void ChunkPlan::noteFound(Chunk &chunk, Instant now)
+void ChunkPlan::noteAvailable(Chunk &chunk, Instant now)
 {
-    mLastFound = now;
-    if (std::exchange(mIsOriginAway, false)) {
-        mRoundOver = now + originRound();
+    mLastAvailableAt = now;
+    if (std::exchange(mIsOriginUnavailable, false)) {
+        mReturnRoundEndsAt = now + originRoundDuration();
     }
-    if (chunk.wasFound) {
+    if (chunk.wasAvailable) {
         return;
     }
-    chunk.wasFound = true;
-    ++mFoundCount;
-    ++mFoundOf[chunk.owner];
-    if (!mSharesFoundAt && areSharesFound()) {
-        mSharesFoundAt = now;
+    chunk.wasAvailable = true;
+    ++mAvailableCount;
+    ++mAvailableByOwner[chunk.ownerIndex];
+    if (!mActiveSharesAvailableAt && areActiveSharesAvailable()) {
+        mActiveSharesAvailableAt = now;
     }
-    if (!mMostFoundAt && mFoundCount >= sMostFound * static_cast<double>(mChunks.size())) {
-        mMostFoundAt = now;
+    if (!mMostAvailableAt
+        && mAvailableCount >= sMostAvailableFraction * static_cast<double>(mChunks.size())) {
+        mMostAvailableAt = now;
     }
 }
 
@@ -470,10 +476,10 @@
 // next in order steps in when nothing comes any more.
 bool ChunkPlan::mayImport(const Chunk &chunk, Instant now) const
 {
-    if (!mOptions.nearOnly || chunk.importRank == 0) {
+    if (!mOptions.hasSingleImport || chunk.importRank == 0) {
         return true;
     }
-    return now - chunk.heldSince >= takeoverAfter() * static_cast<int>(chunk.importRank);
+    return now - chunk.availableSince >= takeoverDelay() * static_cast<int>(chunk.importRank);
 }
 
 // Whoever holds the last chunks may be on a link of a tenth of the others'
@@ -481,20 +487,20 @@
 // dozens of milliseconds. Few step in, so that few chunks are sent twice.
 bool ChunkPlan::isStraggler(const Chunk &chunk, Instant now) const
 {
-    const bool isOpen = chunk.state != State::Have && !chunk.isAskedOfOrigin;
-    const bool isTail = mHaveCount >= sTailPart * static_cast<double>(mChunks.size());
+    const bool isOpen = chunk.state != State::Have && !chunk.isRequestedFromOrigin;
+    const bool isTail = mStoredCount >= sTailFraction * static_cast<double>(mChunks.size());
     const bool mayStepIn = mOptions.policy == FetchPolicy::Swarm && chunk.originRank >= 1
-        && chunk.originRank <= sMostStepIn && chunk.originRetryAt <= now;
-    if (!isOpen || !isTail || !mayStepIn || chunk.holders == 0) {
+        && chunk.originRank <= sMaxTakeoverMembers && chunk.originRetryAt <= now;
+    if (!isOpen || !isTail || !mayStepIn || chunk.holderCount == 0) {
         return false;
     }
-    const Microseconds stalled = now - mLastProgress;
-    const Microseconds patience
-        = std::max<Microseconds>((mLastProgress - mBegun) / sSilentPart, sNewsTime);
+    const Microseconds stalled = now - mLastReceivedAt;
+    const Microseconds patience = std::max<Microseconds>(
+        (mLastReceivedAt - mStartedAt) / sSilenceDivisor, sMaxAnnounceDelay);
     return stalled >= patience * static_cast<int>(chunk.originRank);
 }
 
-void ChunkPlan::planOrigin(std::vector<ChunkFetch> &out, Instant now)
+void ChunkPlan::planOriginRequests(std::vector<ChunkFetch> &out, Instant now)
 {
     // The rarest first here too: a chunk that a neighbour holds can wait.
     std::vector<std::uint32_t> wanted;
@@ -502,9 +508,9 @@
         Chunk &chunk = mChunks[index];
         bool isDue = chunk.state == State::Missing && mayPullFromOrigin(chunk, now);
         // It would step in together with all others of its rank.
-        if (isDue && mIsOriginAway && chunk.originFailures == 0) {
-            chunk.originFailures = sOriginAway;
-            chunk.originRetryAt = nextOriginRound(chunk, now);
+        if (isDue && mIsOriginUnavailable && chunk.consecutiveOriginFailures == 0) {
+            chunk.consecutiveOriginFailures = sMaxTransientOriginFailures;
+            chunk.originRetryAt = nextOriginRoundAt(chunk, now);
             isDue = false;
         }
         if (isDue || isStraggler(chunk, now)) {
@@ -512,43 +518,43 @@
         }
     }
     std::ranges::sort(wanted, {}, [&](std::uint32_t index) {
-        return std::pair(mChunks[index].holders, mChunks[index].tieBreak);
+        return std::pair(mChunks[index].holderCount, mChunks[index].tieBreak);
     });
     for (const std::uint32_t index : wanted) {
-        if (mOpenOrigin >= mOptions.originParallel) {
+        if (mOpenOriginRequests >= mOptions.maxOriginRequests) {
             return;
         }
-        mChunks[index].state = State::Asked;
-        mChunks[index].isAskedOfOrigin = true;
-        ++mOpenOrigin;
+        mChunks[index].state = State::Requested;
+        mChunks[index].isRequestedFromOrigin = true;
+        ++mOpenOriginRequests;
         out.push_back({index, FromOrigin{}});
     }
 }
 
-void ChunkPlan::planPeers(std::vector<ChunkFetch> &out, Instant now)
+void ChunkPlan::planPeerRequests(std::vector<ChunkFetch> &out, Instant now)
 {
-    if (mOpenPeers >= mOptions.peerParallel) {
+    if (mOpenPeerRequests >= mOptions.maxPeerRequests) {
         return;
     }
     std::vector<std::uint32_t> wanted;
     for (std::uint32_t index = 0; index < mChunks.size(); ++index) {
-        if (mChunks[index].state == State::Missing && mChunks[index].holders > 0) {
+        if (mChunks[index].state == State::Missing && mChunks[index].holderCount > 0) {
             wanted.push_back(index);
         }
     }
     std::ranges::sort(wanted, {}, [&](std::uint32_t index) {
-        return std::pair(mChunks[index].holders, mChunks[index].tieBreak);
+        return std::pair(mChunks[index].holderCount, mChunks[index].tieBreak);
     });
     for (const std::uint32_t index : wanted) {
-        if (mOpenPeers >= mOptions.peerParallel) {
+        if (mOpenPeerRequests >= mOptions.maxPeerRequests) {
             return;
         }
         const auto box = bestHolder(index, now);
         if (!box) {
             continue;
         }
-        mChunks[index].state = State::Asked;
-        ++mOpenPeers;
+        mChunks[index].state = State::Requested;
+        ++mOpenPeerRequests;
         ++mPeers.find(*box)->second.open;
         out.push_back({index, FromPeer{*box}});
     }
@@ -560,12 +566,12 @@
     std::pair<std::uint32_t, bool> bestCost;
     const bool mayBeFar = mayImport(mChunks[index], now);
     for (const auto &[box, peer] : mPeers) {
-        const bool usable = peer.has[index] && peer.open < mOptions.perPeerParallel
-            && peer.avoidedUntil <= now && (peer.sameDataCentre || mayBeFar);
+        const bool usable = peer.has[index] && peer.open < mOptions.maxRequestsPerPeer
+            && peer.avoidedUntil <= now && (peer.isSameDataCentre || mayBeFar);
         if (!usable) {
             continue;
         }
-        const std::pair cost{peer.open, !peer.sameDataCentre};
+        const std::pair cost{peer.open, !peer.isSameDataCentre};
         if (best == nullptr || cost < bestCost) {
             best = &box;
             bestCost = cost;
@@ -578,10 +584,10 @@
 {
     const auto *fromPeer = std::get_if<FromPeer>(&source);
     if (fromPeer == nullptr) {
-        --mOpenOrigin;
+        --mOpenOriginRequests;
         return;
     }
-    --mOpenPeers;
+    --mOpenPeerRequests;
     const auto it = mPeers.find(fromPeer->box);
     if (it != mPeers.end() && it->second.open > 0) {
         --it->second.open;
@@ -591,45 +597,46 @@
 ChunkProgress ChunkPlan::progress(Instant now) const
 {
     ChunkProgress progress;
-    progress.have = mHaveCount;
-    progress.openOrigin = mOpenOrigin;
-    progress.openPeers = mOpenPeers;
-    progress.sinceLast = now - mLastProgress;
+    progress.storedCount = mStoredCount;
+    progress.openOriginRequests = mOpenOriginRequests;
+    progress.openPeerRequests = mOpenPeerRequests;
+    progress.sinceLastChunk = now - mLastReceivedAt;
     for (const Chunk &chunk : mChunks) {
-        progress.asked += chunk.state == State::Asked ? 1 : 0;
+        progress.requestedCount += chunk.state == State::Requested ? 1 : 0;
         const bool isMissing = chunk.state == State::Missing;
-        progress.held += isMissing && chunk.holders > 0 ? 1 : 0;
-        if (!isMissing || chunk.holders > 0) {
+        progress.availableCount += isMissing && chunk.holderCount > 0 ? 1 : 0;
+        if (!isMissing || chunk.holderCount > 0) {
             continue;
         }
-        if (progress.unheld == 0) {
-            progress.firstUnheld = chunk.place;
-            progress.ownerOfIt = mMembers[chunk.owner].box;
+        if (progress.unavailableCount == 0) {
+            progress.firstUnavailable = chunk.index;
+            progress.firstUnavailableOwner = mMembers[chunk.ownerIndex].box;
         }
-        ++progress.unheld;
+        ++progress.unavailableCount;
     }
     return progress;
 }
 
-void ChunkPlan::adopt(std::uint32_t index)
+void ChunkPlan::addStored(std::uint32_t index)
 {
     if (mChunks[index].state != State::Have) {
         mChunks[index].state = State::Have;
-        ++mHaveCount;
+        ++mStoredCount;
     }
 }
 
 void ChunkPlan::received(std::uint32_t index, const ChunkSource &source, Instant now)
 {
     closeRequest(source);
-    adopt(index);
-    const auto gap = static_cast<double>((now - mLastProgress).count());
-    const bool isFirst = mMeanGapMicroseconds <= 0;
-    mMeanGapMicroseconds += (isFirst ? 1.0 : sGapWeight) * (gap - mMeanGapMicroseconds);
-    mLastProgress = now;
-    noteOwnShare(now);
+    addStored(index);
+    const auto gap = static_cast<double>((now - mLastReceivedAt).count());
+    const bool isFirst = mMeanIntervalMicroseconds <= 0;
+    mMeanIntervalMicroseconds
+        += (isFirst ? 1.0 : sIntervalWeight) * (gap - mMeanIntervalMicroseconds);
+    mLastReceivedAt = now;
+    updateOwnShare(now);
     if (std::holds_alternative<FromOrigin>(source)) {
-        noteFound(mChunks[index], now);
+        noteAvailable(mChunks[index], now);
     }
 }
 
@@ -638,28 +645,30 @@
 {
     closeRequest(source);
     Chunk &chunk = mChunks[index];
-    if (chunk.state == State::Asked) {
+    if (chunk.state == State::Requested) {
         chunk.state = State::Missing;
     }
     const bool wasOrigin = std::holds_alternative<FromOrigin>(source);
-    chunk.isAskedOfOrigin = chunk.isAskedOfOrigin && !wasOrigin;
+    chunk.isRequestedFromOrigin = chunk.isRequestedFromOrigin && !wasOrigin;
     const auto *fromPeer = std::get_if<FromPeer>(&source);
     if (fromPeer == nullptr) {
-        ++chunk.originFailures;
-        const bool isGone = why != ChunkFailure::Corrupt && chunk.originFailures > sOriginAway;
-        mIsOriginAway = mIsOriginAway || (isGone && mOptions.originSpacing.count() > 0);
-        chunk.originRetryAt = originRetry(chunk, why, now);
+        ++chunk.consecutiveOriginFailures;
+        const bool isGone = why != ChunkFailure::Corrupt
+            && chunk.consecutiveOriginFailures > sMaxTransientOriginFailures;
+        mIsOriginUnavailable
+            = mIsOriginUnavailable || (isGone && mOptions.originPullInterval.count() > 0);
+        chunk.originRetryAt = nextOriginRetryAt(chunk, why, now);
         return;
     }
     const auto it = mPeers.find(fromPeer->box);
     if (it == mPeers.end()) {
         return;
     }
-    it->second.avoidedUntil = std::max(it->second.avoidedUntil, now + pauseAfter(why));
+    it->second.avoidedUntil = std::max(it->second.avoidedUntil, now + backoffAfter(why));
     const bool lacksIt = why == ChunkFailure::Missing || why == ChunkFailure::Corrupt;
     if (lacksIt && it->second.has[index]) {
         it->second.has[index] = false;
-        --chunk.holders;
+        --chunk.holderCount;
     }
 }
 
--- a/src/libloomjunction/core/replicaoffer.cpp
+++ b/src/libloomjunction/core/replicaoffer.cpp
@@ -8,7 +8,7 @@
 
 #include "replicaoffer.h"
 
-#include "weightsgoal.h"
+#include "weightversiontracker.h"
 
 #include <algorithm>
 
@@ -211,7 +211,7 @@
 bool OfferEstimator::beginsInTime(const Replica &replica) const
 {
     const std::uint64_t version = replica.weightsVersion();
-    if (!mQuery.weights->isOverSoon(mQuery.model, version, mNow)) {
+    if (!mQuery.weights->isCutoffNear(mQuery.model, version, mNow)) {
         return true;
     }
     // A link between data centres may fill up right after an answer, and the reset of
@@ -221,11 +221,11 @@
         return false;
     }
     // The time passed on while agents were asked.
-    const auto giveUp = mQuery.weights->giveUpAt(mQuery.model, version);
+    const auto giveUp = mQuery.weights->startDeadline(mQuery.model, version);
     if (*giveUp <= mNow) {
         return false;
     }
-    const auto over = mQuery.weights->overAt(mQuery.model, version);
+    const auto over = mQuery.weights->cutoffAt(mQuery.model, version);
     const double left = std::chrono::duration<double, std::milli>(*over - mNow).count();
     const double answer = engineOffer(replica).answer;
     if (left > sOverNow.count()) {
--- a/src/libloomjunction/core/replicaoffer.h
+++ b/src/libloomjunction/core/replicaoffer.h
@@ -18,7 +18,7 @@
 
 namespace Loom {
 
-class WeightsGoal;
+class WeightVersionTracker;
 
 /** Part of a goal that may be planned with; the rest is for what is not known. */
 inline constexpr double sGoalUsed = 0.85;
@@ -33,7 +33,7 @@
     double promptTokens = 0; ///< zero: unknown
     std::uint64_t leastVersion = 0; ///< of the weights; zero: any, and none is needed
     /** Of the named weights and their model: which are over soon. Null for a plain service. */
-    const WeightsGoal *weights = nullptr;
+    const WeightVersionTracker *weights = nullptr;
     std::string_view model;
     std::uint32_t entries = 1; ///< that share the replicas
     /** Since the caller first tried, here or elsewhere; the goal counts from then. */
--- a/src/libloomjunction/core/versionswitch.cpp
+++ b/src/libloomjunction/core/versionswitch.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Milliseconds sOrderRetry{1'000};
+constexpr Milliseconds sOrderRetryDelay{1'000};
 
 bool isSame(const std::optional<VersionTarget> &a, const std::optional<VersionTarget> &b)
 {
@@ -27,56 +27,56 @@
 } // namespace
 
 void VersionSwitch::setTargets(std::optional<VersionTarget> serving,
-                               std::optional<VersionTarget> spread)
+                               std::optional<VersionTarget> preload)
 {
     // Only a version that is really loaded can stand in: one that was itself
     // on its way must not push out the version that serves.
-    if (!isSame(serving, mServing) && mServing && isLoaded(*mServing)) {
-        mPrevious = mServing;
+    if (!isSame(serving, mServingTarget) && mServingTarget && isLoaded(*mServingTarget)) {
+        mPreviousTarget = mServingTarget;
     }
-    mServing = std::move(serving);
-    mSpread = std::move(spread);
+    mServingTarget = std::move(serving);
+    mPreloadTarget = std::move(preload);
 }
 
-void VersionSwitch::fetched(std::string_view version, std::string_view manifestDigest)
+void VersionSwitch::markFetched(std::string_view version, std::string_view manifestDigest)
 {
     const bool current = mFetchingVersion == version && mFetchingDigest == manifestDigest;
     if (!current) {
         return; // a fetch that was superseded while its last chunk came
     }
-    mFetched[std::string(version)] = std::string(manifestDigest);
+    mVerifiedDigests[std::string(version)] = std::string(manifestDigest);
     mFetchingVersion.reset();
 }
 
-void VersionSwitch::engineReports(std::span<const LoadedVersion> loaded, Instant)
+void VersionSwitch::setEngineReport(std::span<const LoadedVersion> loaded, Instant)
 {
     mLoaded.assign(loaded.begin(), loaded.end());
-    const bool arrived = mServing && isLoaded(*mServing);
+    const bool arrived = mServingTarget && isLoaded(*mServingTarget);
     if (arrived) {
-        mPrevious.reset();
+        mPreviousTarget.reset();
     }
 }
 
-void VersionSwitch::engineLost()
+void VersionSwitch::clearEngineReport()
 {
     mLoaded.clear();
 }
 
 void VersionSwitch::orderEnded(std::string_view version, bool wasAccepted, Instant now)
 {
-    const auto it = mOrdered.find(version);
-    if (it != mOrdered.end()) {
-        mOrdered.erase(it);
+    const auto it = mPendingOrders.find(version);
+    if (it != mPendingOrders.end()) {
+        mPendingOrders.erase(it);
     }
     if (!wasAccepted) {
-        mNextOrderAt = now + sOrderRetry;
+        mOrderRetryAt = now + sOrderRetryDelay;
     }
 }
 
 std::vector<const VersionTarget *> VersionSwitch::targets() const
 {
     std::vector<const VersionTarget *> all;
-    for (const auto *target : {&mServing, &mSpread, &mPrevious}) {
+    for (const auto *target : {&mServingTarget, &mPreloadTarget, &mPreviousTarget}) {
         const auto known
             = [&](const VersionTarget *other) { return other->version == (*target)->version; };
         if (*target && std::ranges::none_of(all, known)) {
@@ -106,29 +106,31 @@
         actions.emplace_back(StopFetch{*mFetchingVersion});
         mFetchingVersion.reset();
     }
-    std::erase_if(mFetched, [&](const auto &pair) { return !isTarget(pair.first); });
+    std::erase_if(mVerifiedDigests, [&](const auto &pair) { return !isTarget(pair.first); });
 
-    const bool mayOrder = now >= mNextOrderAt;
+    const bool mayOrder = now >= mOrderRetryAt;
     for (const VersionTarget *target : targets()) {
         if (isLoaded(*target)) {
             continue;
         }
-        const auto have = mFetched.find(target->version);
-        const bool verified = have != mFetched.end() && have->second == target->manifestDigest;
+        const auto have = mVerifiedDigests.find(target->version);
+        const bool verified
+            = have != mVerifiedDigests.end() && have->second == target->manifestDigest;
         if (!verified && !mFetchingVersion) {
             mFetchingVersion = target->version;
             mFetchingDigest = target->manifestDigest;
             actions.emplace_back(StartFetch{*target});
         }
-        if (verified && mayOrder && mayLoad && !mOrdered.contains(target->version)) {
-            mOrdered.insert(target->version);
+        if (verified && mayOrder && mayLoad && !mPendingOrders.contains(target->version)) {
+            mPendingOrders.insert(target->version);
             actions.emplace_back(OrderLoad{*target});
         }
     }
     for (const LoadedVersion &loaded : mLoaded) {
-        const bool unwanted = !isTarget(loaded.version) && mServing && isLoaded(*mServing);
-        if (unwanted && mayOrder && !mOrdered.contains(loaded.version)) {
-            mOrdered.insert(loaded.version);
+        const bool unwanted
+            = !isTarget(loaded.version) && mServingTarget && isLoaded(*mServingTarget);
+        if (unwanted && mayOrder && !mPendingOrders.contains(loaded.version)) {
+            mPendingOrders.insert(loaded.version);
             actions.emplace_back(OrderUnload{loaded.version});
         }
     }
@@ -164,7 +166,7 @@
 std::optional<std::string> VersionSwitch::waitingToLoad() const
 {
     for (const VersionTarget *target : targets()) {
-        if (mFetched.contains(target->version) && !isLoaded(*target)) {
+        if (mVerifiedDigests.contains(target->version) && !isLoaded(*target)) {
             return target->version;
         }
     }
--- a/src/libloomjunction/core/versionswitch.h
+++ b/src/libloomjunction/core/versionswitch.h
@@ -66,16 +66,16 @@
      * What the configuration wants: @p serving first, then @p spread (may be
      * empty). A version serving before stays until its successor is loaded.
      */
-    void setTargets(std::optional<VersionTarget> serving, std::optional<VersionTarget> spread);
+    void setTargets(std::optional<VersionTarget> serving, std::optional<VersionTarget> preload);
 
     /** Every chunk of @p version is here and verified against @p manifestDigest. */
-    void fetched(std::string_view version, std::string_view manifestDigest);
+    void markFetched(std::string_view version, std::string_view manifestDigest);
 
     /** The engine's own report; the only source of what is loaded. */
-    void engineReports(std::span<const LoadedVersion> loaded, Instant now);
+    void setEngineReport(std::span<const LoadedVersion> loaded, Instant now);
 
     /** The engine restarted or cannot be asked: nothing counts as loaded. */
-    void engineLost();
+    void clearEngineReport();
 
     /** The answer to an order was lost or it failed; it may be given again later. */
     void orderEnded(std::string_view version, bool wasAccepted, Instant now);
@@ -97,15 +97,16 @@
     bool isTarget(std::string_view version) const;
     std::vector<const VersionTarget *> targets() const;
 
-    std::optional<VersionTarget> mServing;
-    std::optional<VersionTarget> mSpread;
-    std::optional<VersionTarget> mPrevious;
-    std::map<std::string, std::string, std::less<>> mFetched; ///< version -> verified digest
+    std::optional<VersionTarget> mServingTarget;
+    std::optional<VersionTarget> mPreloadTarget;
+    std::optional<VersionTarget> mPreviousTarget;
+    std::map<std::string, std::string, std::less<>>
+        mVerifiedDigests; ///< version -> verified digest
     std::vector<LoadedVersion> mLoaded;
-    std::set<std::string, std::less<>> mOrdered; ///< orders under way
+    std::set<std::string, std::less<>> mPendingOrders; ///< orders under way
     std::optional<std::string> mFetchingVersion;
     std::string mFetchingDigest;
-    Instant mNextOrderAt;
+    Instant mOrderRetryAt;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/weightsgoal.h
+++ b/src/libloomjunction/core/weightversiontracker.h
@@ -1,5 +1,5 @@
 /*
- * weightsgoal.h
+ * weightversiontracker.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -19,26 +19,26 @@
 namespace Loom {
 
 /** Version that operators named for one model, and when this process learned of it. */
-struct NamedVersion
+struct PublishedVersion
 {
     std::uint64_t version = 1;
-    std::uint64_t before = 0; ///< the one named before it; zero: none
+    std::uint64_t previousVersion = 0; ///< the one named before it; zero: none
     Instant learnedAt;
 };
 
 /**
  * Which versions of weights may still begin requests. An older one may, until
- * @p limit after a newer one was named. Owned by the configuration's service.
+ * @p gracePeriod after a newer one was named. Owned by the configuration's service.
  */
-class WeightsGoal
+class WeightVersionTracker
 {
 public:
-    explicit WeightsGoal(Milliseconds limit)
-        : mLimit(limit)
+    explicit WeightVersionTracker(Milliseconds gracePeriod)
+        : mGracePeriod(gracePeriod)
     {
     }
 
-    void setLimit(Milliseconds limit) { mLimit = limit; }
+    void setGracePeriod(Milliseconds gracePeriod) { mGracePeriod = gracePeriod; }
 
     /** @p model has @p version; @p learnedAt lies in the past for an old record. */
     void name(std::string_view model, std::uint64_t version, Instant learnedAt);
@@ -47,25 +47,25 @@
     /** The oldest version that may begin a request that is sent now. */
     std::uint64_t oldestAllowed(std::string_view model, Instant now) const;
     /** From when on @p version may begin nothing; nothing: no newer one was named. */
-    std::optional<Instant> overAt(std::string_view model, std::uint64_t version) const;
+    std::optional<Instant> cutoffAt(std::string_view model, std::uint64_t version) const;
     /**
      * When a request that was sent to @p version must be given up unless it has
      * begun; nothing: no newer one was named.
      */
-    std::optional<Instant> giveUpAt(std::string_view model, std::uint64_t version) const;
+    std::optional<Instant> startDeadline(std::string_view model, std::uint64_t version) const;
     /** Until then no version that is the newest @p now must be given up. */
-    Instant lookAgainAt(Instant now) const { return now + mLimit / 2; }
+    Instant nextCheckAt(Instant now) const { return now + mGracePeriod / 2; }
     /** It will be so soon that the way to a replica and the wait there matter. */
-    bool isOverSoon(std::string_view model, std::uint64_t version, Instant now) const;
+    bool isCutoffNear(std::string_view model, std::uint64_t version, Instant now) const;
     /** When @p version was named; the start of time where it was not. */
     Instant learnedAt(std::string_view model, std::uint64_t version) const;
     /** The newest version named for @p model; null: none. */
-    const NamedVersion *find(std::string_view model) const;
+    const PublishedVersion *find(std::string_view model) const;
 
 private:
-    Milliseconds mLimit;
+    Milliseconds mGracePeriod;
     /** By version: when it was learned. */
-    std::map<std::string, std::map<std::uint64_t, NamedVersion>, std::less<>> mModels;
+    std::map<std::string, std::map<std::uint64_t, PublishedVersion>, std::less<>> mVersionsByModel;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/directconfig.cpp
+++ b/src/libloomjunction/gateway/directconfig.cpp
@@ -56,7 +56,7 @@
 void DirectConfig::setBounds(const DirectBounds &bounds)
 {
     mBounds = bounds;
-    mWeights.setLimit(bounds.weightsTime);
+    mWeights.setGracePeriod(bounds.weightsTime);
     mFeeds->setOperatorsWait(bounds.configTime / sReadsInBound);
 }
 
--- a/src/libloomjunction/gateway/directconfig.h
+++ b/src/libloomjunction/gateway/directconfig.h
@@ -12,7 +12,7 @@
 #include "kernel.h"
 #include "ports.h"
 #include "routetable.h"
-#include "weightsgoal.h"
+#include "weightversiontracker.h"
 
 #include <functional>
 #include <vector>
@@ -40,7 +40,7 @@
 
     /** The configuration in force; null before the first is known. */
     const RouteTablePtr &table() const { return mTable; }
-    const WeightsGoal &weights() const { return mWeights; }
+    const WeightVersionTracker &weights() const { return mWeights; }
     /** A route or key that is not in the table may be in a newer one. */
     bool mayBeStale() const;
 
@@ -59,7 +59,7 @@
     FeedService *mFeeds = nullptr;
     Metrics *mMetrics = nullptr; ///< null: nothing is observed
     RouteTablePtr mTable;
-    WeightsGoal mWeights;
+    WeightVersionTracker mWeights;
     std::vector<Listener> mListeners;
 };
 
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -212,7 +212,7 @@
     query.isResumed = mCall.isHeadSent;
     if (mCall.service != nullptr && mCall.service->engine) {
         query.engine = &*mCall.service->engine;
-        const WeightsGoal &weights = mCall.parts.config.weights();
+        const WeightVersionTracker &weights = mCall.parts.config.weights();
         query.leastVersion = weights.oldestAllowed(mCall.caller.model, now());
         query.weights = &weights;
         query.model = mCall.caller.model;
--- a/src/libloomjunction/gateway/manifestexchange.cpp
+++ b/src/libloomjunction/gateway/manifestexchange.cpp
@@ -26,14 +26,14 @@
 namespace {
 
 constexpr std::string_view sManifestPath = "/manifest";
-constexpr std::chrono::milliseconds sPeerTime{500};
+constexpr std::chrono::milliseconds sPeerTimeout{500};
 // Boxes that ask the origin for a manifest at once, so that one may be dead.
-constexpr std::size_t sAskers = 3;
+constexpr std::size_t sOriginReaderCount = 3;
 // Boxes asked at once by one that found neither those nor the origin.
-constexpr std::ptrdiff_t sSample = 8;
+constexpr std::ptrdiff_t sSampleSize = 8;
 // Others ask the origin themselves after this time; asking takes some milliseconds.
-constexpr Milliseconds sPatience{600};
-constexpr Milliseconds sPause{40};
+constexpr Milliseconds sOriginFallbackDelay{600};
+constexpr Milliseconds sRetryDelay{40};
 
 std::uint64_t randomSeed()
 {
@@ -49,9 +49,9 @@
 } // namespace
 
 /** One manifest that several boxes are asked for at once. */
-struct ManifestExchange::Race
+struct ManifestExchange::PeerQuery
 {
-    explicit Race(const asio::any_io_executor &executor)
+    explicit PeerQuery(const asio::any_io_executor &executor)
         : changed(executor)
     {
     }
@@ -65,24 +65,24 @@
     : mParts(std::move(parts))
 {
     mParts.hub.serve(std::string(sManifestPath),
-                     [this](PeerStreamPtr stream) { return serve(std::move(stream)); });
+                     [this](PeerStreamPtr stream) { return serveManifest(std::move(stream)); });
 }
 
 // A few boxes ask the origin, whose connections are few; the others ask those
 // boxes, and the origin only if none has it after a while.
-awaitable<tl::expected<std::string, std::string>> ManifestExchange::text(std::string model,
-                                                                         std::uint64_t version)
+awaitable<tl::expected<std::string, std::string>>
+ManifestExchange::fetchManifest(std::string model, std::uint64_t version)
 {
-    const std::vector<Member> askers = this->askers(model, version);
-    const bool isAsker = std::ranges::any_of(
-        askers, [&](const Member &member) { return member.box == mParts.settings.box; });
-    const Instant until = now() + (isAsker ? Milliseconds(0) : sPatience);
+    const std::vector<Member> originReaders = this->originReaders(model, version);
+    const bool isOriginReader = std::ranges::any_of(
+        originReaders, [&](const Member &member) { return member.box == mParts.settings.box; });
+    const Instant until = now() + (isOriginReader ? Milliseconds(0) : sOriginFallbackDelay);
     while (now() < until && !mStopped) {
-        std::string text = co_await fromPeers(model, version, askers);
+        std::string text = co_await fetchFromPeers(model, version, originReaders);
         if (!text.empty()) {
             co_return std::move(text);
         }
-        co_await sleepFor(sPause);
+        co_await sleepFor(sRetryDelay);
     }
     std::string problem = "no origin is configured";
     if (const auto address = mParts.origin()) {
@@ -92,7 +92,7 @@
         }
         problem = manifest.error();
     }
-    std::string text = co_await fromPeers(model, version, someStagers());
+    std::string text = co_await fetchFromPeers(model, version, sampleStagers());
     if (!text.empty()) {
         co_return std::move(text);
     }
@@ -100,16 +100,17 @@
 }
 
 // A few at random: with hundreds, asking all would cost more than it finds.
-std::vector<Member> ManifestExchange::someStagers() const
+std::vector<Member> ManifestExchange::sampleStagers() const
 {
     const std::vector<Member> all = mParts.members.stagersOf(mParts.service);
     std::vector<Member> some;
     static std::mt19937_64 random{randomSeed()};
-    std::ranges::sample(all, std::back_inserter(some), sSample, random);
+    std::ranges::sample(all, std::back_inserter(some), sSampleSize, random);
     return some;
 }
 
-std::vector<Member> ManifestExchange::askers(const std::string &model, std::uint64_t version) const
+std::vector<Member> ManifestExchange::originReaders(const std::string &model,
+                                                    std::uint64_t version) const
 {
     std::vector<Member> all = mParts.members.stagersOf(mParts.service);
     Member self;
@@ -122,7 +123,8 @@
         boxes.push_back(member.box);
     }
     std::vector<Member> chosen;
-    for (const std::size_t index : rendezvousOrder(versionKey(model, version), boxes, sAskers)) {
+    for (const std::size_t index :
+         rendezvousOrder(versionKey(model, version), boxes, sOriginReaderCount)) {
         chosen.push_back(all[index]);
     }
     return chosen;
@@ -130,25 +132,25 @@
 
 // Asks all @p peers at once: one that is dead or behind a slow link would hold the
 // fetch up for longer than the origin needs for a third of the chunks.
-awaitable<std::string> ManifestExchange::fromPeers(std::string model, std::uint64_t version,
-                                                   std::vector<Member> peers)
+awaitable<std::string> ManifestExchange::fetchFromPeers(std::string model, std::uint64_t version,
+                                                        std::vector<Member> peers)
 {
-    auto race = std::make_shared<Race>(mParts.executor);
+    auto query = std::make_shared<PeerQuery>(mParts.executor);
     for (const Member &member : peers) {
         if (member.box != mParts.settings.box) {
-            ++race->open;
-            asio::co_spawn(mParts.executor, askOne(race, member.peers, model, version),
+            ++query->open;
+            asio::co_spawn(mParts.executor, queryPeer(query, member.peers, model, version),
                            asio::detached);
         }
     }
-    while (race->open > 0 && race->text.empty()) {
-        co_await race->changed.waitFor(sPeerTime);
+    while (query->open > 0 && query->text.empty()) {
+        co_await query->changed.waitFor(sPeerTimeout);
     }
-    co_return race->text;
+    co_return query->text;
 }
 
-awaitable<void> ManifestExchange::askOne(std::shared_ptr<Race> race, Tcp::endpoint peer,
-                                         std::string model, std::uint64_t version)
+awaitable<void> ManifestExchange::queryPeer(std::shared_ptr<PeerQuery> query, Tcp::endpoint peer,
+                                            std::string model, std::uint64_t version)
 {
     const PeerStreamPtr stream = co_await mParts.hub.open(peer, std::string(sManifestPath));
     if (stream) {
@@ -156,34 +158,35 @@
         request.set_model(model);
         request.set_version(version);
         stream->send(request);
-        const auto deadline = std::chrono::steady_clock::now() + sPeerTime;
+        const auto deadline = std::chrono::steady_clock::now() + sPeerTimeout;
         const auto answer = co_await stream->receiveMessage<wire::ManifestAnswer>(deadline);
         stream->reset();
         if (answer && *answer && (*answer)->found()) {
-            race->text = (*answer)->text();
+            query->text = (*answer)->text();
         }
     }
-    --race->open;
-    race->changed.notify();
+    --query->open;
+    query->changed.notify();
 }
 
-awaitable<std::string> ManifestExchange::oldestFetched(std::string model)
+awaitable<std::string> ManifestExchange::fetchOldestNeeded(std::string model)
 {
-    co_return co_await fromPeers(std::move(model), sOldestFetched, someStagers());
+    co_return co_await fetchFromPeers(std::move(model), sOldestNeeded, sampleStagers());
 }
 
-awaitable<void> ManifestExchange::serve(PeerStreamPtr stream)
+awaitable<void> ManifestExchange::serveManifest(PeerStreamPtr stream)
 {
-    const auto deadline = std::chrono::steady_clock::now() + sPeerTime;
+    const auto deadline = std::chrono::steady_clock::now() + sPeerTimeout;
     const auto request = co_await stream->receiveMessage<wire::ManifestRequest>(deadline);
     if (!request || !*request) {
         stream->reset();
         co_return;
     }
     wire::ManifestAnswer answer;
-    if (const std::string *held = mParts.held((*request)->model(), (*request)->version())) {
+    if (const std::string *localManifest
+        = mParts.localManifest((*request)->model(), (*request)->version())) {
         answer.set_found(true);
-        answer.set_text(*held);
+        answer.set_text(*localManifest);
     }
     stream->send(answer);
     stream->finish();
--- a/src/libloomjunction/gateway/manifestexchange.h
+++ b/src/libloomjunction/gateway/manifestexchange.h
@@ -32,7 +32,7 @@
 {
 public:
     /** Asks for the oldest version that a box still has to do with. */
-    static constexpr std::uint64_t sOldestFetched = 0;
+    static constexpr std::uint64_t sOldestNeeded = 0;
 
     struct Parts
     {
@@ -44,28 +44,29 @@
         std::string service;
         std::function<std::optional<Tcp::endpoint>()> origin;
         /** The text of a manifest that is here; null: it is not. */
-        std::function<const std::string *(std::string_view model, std::uint64_t version)> held;
+        std::function<const std::string *(std::string_view model, std::uint64_t version)>
+            localManifest;
     };
 
     explicit ManifestExchange(Parts parts);
 
     void stop() { mStopped = true; }
     /** The manifest of @p version; the error says what the origin answered. */
-    awaitable<tl::expected<std::string, std::string>> text(std::string model,
-                                                           std::uint64_t version);
+    awaitable<tl::expected<std::string, std::string>> fetchManifest(std::string model,
+                                                                    std::uint64_t version);
     /** The manifest of the oldest version that some other agent has to do with, or nothing. */
-    awaitable<std::string> oldestFetched(std::string model);
+    awaitable<std::string> fetchOldestNeeded(std::string model);
 
 private:
-    struct Race;
+    struct PeerQuery;
 
-    std::vector<Member> askers(const std::string &model, std::uint64_t version) const;
-    std::vector<Member> someStagers() const;
-    awaitable<std::string> fromPeers(std::string model, std::uint64_t version,
-                                     std::vector<Member> peers);
-    awaitable<void> askOne(std::shared_ptr<Race> race, Tcp::endpoint peer, std::string model,
-                           std::uint64_t version);
-    awaitable<void> serve(PeerStreamPtr stream);
+    std::vector<Member> originReaders(const std::string &model, std::uint64_t version) const;
+    std::vector<Member> sampleStagers() const;
+    awaitable<std::string> fetchFromPeers(std::string model, std::uint64_t version,
+                                          std::vector<Member> peers);
+    awaitable<void> queryPeer(std::shared_ptr<PeerQuery> query, Tcp::endpoint peer,
+                              std::string model, std::uint64_t version);
+    awaitable<void> serveManifest(PeerStreamPtr stream);
 
     Parts mParts;
     bool mStopped = false;
--- a/src/libloomjunction/gateway/replicatry.cpp
+++ b/src/libloomjunction/gateway/replicatry.cpp
@@ -378,7 +378,7 @@
 // over. A stream that runs then goes on at another replica.
 Milliseconds ReplicaTry::timeOfWeights(std::uint64_t version) const
 {
-    const auto giveUp = mCall.parts.config.weights().giveUpAt(mCall.caller.model, version);
+    const auto giveUp = mCall.parts.config.weights().startDeadline(mCall.caller.model, version);
     if (!giveUp) {
         return Milliseconds::max();
     }
@@ -392,7 +392,7 @@
     if (!mCall.isForEngine()) {
         return false;
     }
-    const auto giveUp = mCall.parts.config.weights().giveUpAt(mCall.caller.model, version);
+    const auto giveUp = mCall.parts.config.weights().startDeadline(mCall.caller.model, version);
     return giveUp && *giveUp <= now();
 }
 
@@ -407,9 +407,9 @@
         endAs(Ending::WeightsOver);
         return;
     }
-    const WeightsGoal &weights = mCall.parts.config.weights();
-    const auto giveUp = weights.giveUpAt(mCall.caller.model, mTriedWeights);
-    mWeightsTimer.expires_at(bootTime(giveUp.value_or(weights.lookAgainAt(now()))));
+    const WeightVersionTracker &weights = mCall.parts.config.weights();
+    const auto giveUp = weights.startDeadline(mCall.caller.model, mTriedWeights);
+    mWeightsTimer.expires_at(bootTime(giveUp.value_or(weights.nextCheckAt(now()))));
     const std::weak_ptr<bool> alive = mAlive;
     mWeightsTimer.async_wait([this, alive](const boost::system::error_code &error) {
         if (!error && !alive.expired() && mIsUnbegun) {
--- a/src/libloomjunction/gateway/stageservice.cpp
+++ b/src/libloomjunction/gateway/weightstagingservice.cpp
@@ -1,12 +1,12 @@
 /*
- * stageservice.cpp
+ * weightstagingservice.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "stageservice.h"
+#include "weightstagingservice.h"
 
 #include "clock.h"
 #include "digest.h"
@@ -29,42 +29,42 @@
 namespace {
 
 // The engine is on this box; asking it costs a fraction of a millisecond.
-constexpr Milliseconds sLookEvery{50};
+constexpr Milliseconds sEnginePollInterval{50};
 // With nothing to load; gateways that ask have it looked at as they come.
-constexpr Milliseconds sCalmLookEvery{250};
-constexpr Milliseconds sWeightsEvery{50};
-constexpr Milliseconds sRetryPause{200};
+constexpr Milliseconds sIdleEnginePollInterval{250};
+constexpr Milliseconds sRolloutInterval{50};
+constexpr Milliseconds sRetryDelay{200};
 // The members' feed is read within some dozens of milliseconds after the start.
-constexpr Milliseconds sMembersPatience{600};
-constexpr Milliseconds sMembersStep{50};
+constexpr Milliseconds sMembersTimeout{600};
+constexpr Milliseconds sMembersPollInterval{50};
 // Gateways must have heard that the replica takes nothing before it is ordered to load.
-constexpr Milliseconds sTellFirst{30};
+constexpr Milliseconds sLoadReportDelay{30};
 // For what waits at the engine when its turn comes; what still waits then goes elsewhere.
-constexpr Milliseconds sQueueTime{700};
+constexpr Milliseconds sQueueDrainTimeout{700};
 // An order that got no answer and shows no effect for so long was not taken.
-constexpr Milliseconds sOrderLost{1'500};
+constexpr Milliseconds sOrderTimeout{1'500};
 constexpr std::uint64_t sStoreBytes = std::uint64_t{48} * 1024 * 1024;
 // Live answers share the link with these: few at once keep its queue short.
-constexpr std::uint32_t sMostUploads = 3;
+constexpr std::uint32_t sMaxUploads = 3;
 // Of the link, for chunks on their way out; the rest is for answers to callers.
-constexpr double sLinkShare = 0.95;
+constexpr double sChunkLinkFraction = 0.95;
 constexpr double sBytesPerMbit = 125'000;
 constexpr double sBurstBytes = 8.0 * 1024;
-constexpr std::uint32_t sOriginParallel = 1;
+constexpr std::uint32_t sMaxOriginRequests = 1;
 // From the naming of a version until most have its manifest.
-constexpr Milliseconds sNamedToBegin{150};
+constexpr Milliseconds sManifestDelay{150};
 // Of a chunk's time at the origin, before the next owner begins: its link never
 // stands idle between two of them.
-constexpr double sOriginBusy = 0.85;
-constexpr double sMicroseconds = 1'000'000;
+constexpr double sOriginIntervalFactor = 0.85;
+constexpr double sMicrosecondsPerSecond = 1'000'000;
 // More at once only share the link, and each chunk is passed on later.
-constexpr std::uint32_t sPeerParallel = 3;
-constexpr std::uint32_t sNeighbours = 12;
-constexpr Milliseconds sTakeover{2'000};
+constexpr std::uint32_t sMaxPeerRequests = 3;
+constexpr std::uint32_t sNeighbourCount = 12;
+constexpr Milliseconds sMaxTakeoverDelay{2'000};
 // Several times what a chunk takes when it shares an idle link with three others.
 constexpr double sSlowChunkSeconds = 0.5;
 // Of the version in force, the next, and one after it.
-constexpr std::size_t sMostFetches = 3;
+constexpr std::size_t sMaxFetches = 3;
 
 std::uint64_t randomSeed()
 {
@@ -79,43 +79,44 @@
 
 } // namespace
 
-StageService::StageService(EnginePort &engine, Metrics &metrics, const DirectSettings &settings)
+WeightStagingService::WeightStagingService(EnginePort &engine, Metrics &metrics,
+                                           const DirectSettings &settings)
     : mEngine(engine)
     , mMetrics(metrics)
     , mSettings(settings)
-    , mStager(std::get<StagerSettings>(settings.role))
+    , mStagerSettings(std::get<StagerSettings>(settings.role))
     , mIngress(0, 0)
-    , mEgress(mStager.linkMbit * sBytesPerMbit * sLinkShare, sBurstBytes)
+    , mEgress(mStagerSettings.linkMbit * sBytesPerMbit * sChunkLinkFraction, sBurstBytes)
 {
 }
 
-tl::expected<void, std::string> StageService::start(Kernel &kernel)
+tl::expected<void, std::string> WeightStagingService::start(Kernel &kernel)
 {
     mConfig = &kernel.find<DirectConfig>(DirectConfig::sName);
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mHub = &kernel.find<PeerHub>(PeerHub::sName);
     mReporter = &kernel.find<LoadReporter>(LoadReporter::sName);
-    mReporter->setLook([this]() -> awaitable<void> { co_await lookAtEngine(); });
-    mWake = std::make_unique<Signal>(kernel.executor());
+    mReporter->setLook([this]() -> awaitable<void> { co_await pollEngine(); });
+    mWakeSignal = std::make_unique<Signal>(kernel.executor());
     mStore = std::make_unique<ChunkStore>(kernel.executor(), sStoreBytes);
-    mServer = std::make_unique<ChunkServer>(*mStore, mEgress, sMostUploads);
+    mServer = std::make_unique<ChunkServer>(*mStore, mEgress, sMaxUploads);
     mHub->serve(std::string(sHavePath),
                 [this](PeerStreamPtr stream) { return mServer->serveHave(std::move(stream)); });
     mHub->serve(std::string(sChunkPath),
                 [this](PeerStreamPtr stream) { return mServer->serveChunk(std::move(stream)); });
     mManifests = std::make_unique<ManifestExchange>(
         ManifestExchange::Parts{kernel.executor(), mEngine, *mMembers, *mHub, mSettings,
-                                mStager.service, [this] { return origin(); },
+                                mStagerSettings.service, [this] { return originEndpoint(); },
                                 [this](std::string_view model, std::uint64_t version) {
-                                    return heldManifest(model, version);
+                                    return localManifest(model, version);
                                 }});
-    mConfig->addListener([this] { mWake->notify(); });
-    asio::co_spawn(kernel.executor(), drive(), asio::detached);
-    asio::co_spawn(kernel.executor(), drivePeers(), asio::detached);
+    mConfig->addListener([this] { mWakeSignal->notify(); });
+    asio::co_spawn(kernel.executor(), runEnginePolling(), asio::detached);
+    asio::co_spawn(kernel.executor(), runRollout(), asio::detached);
     return {};
 }
 
-void StageService::stop()
+void WeightStagingService::stop()
 {
     mStopped = true;
     mServer->stop();
@@ -123,22 +124,22 @@
     for (const VersionFetch &one : mFetches) {
         one.fetch->cancel();
     }
-    mWake->notify();
+    mWakeSignal->notify();
 }
 
 // Looks at the engine, and tells the gateways.
-awaitable<void> StageService::drive()
+awaitable<void> WeightStagingService::runEnginePolling()
 {
     while (!mStopped) {
-        co_await lookAtEngine();
-        co_await sleepFor(isCalm() ? sCalmLookEvery : sLookEvery);
+        co_await pollEngine();
+        co_await sleepFor(isUpToDate() ? sIdleEnginePollInterval : sEnginePollInterval);
     }
 }
 
 // The engine answers, and runs the newest weights that are named.
-bool StageService::isCalm() const
+bool WeightStagingService::isUpToDate() const
 {
-    const EngineFigures *engine = figures();
+    const EngineFigures *engine = engineFigures();
     if (!mReport || mIsLoading || engine == nullptr || engine->models.empty()) {
         return false;
     }
@@ -146,37 +147,37 @@
     return loadedVersion(model) >= mConfig->weights().newest(model);
 }
 
-awaitable<bool> StageService::lookAtEngine()
+awaitable<bool> WeightStagingService::pollEngine()
 {
-    const EngineFigures *engine = figures();
+    const EngineFigures *engine = engineFigures();
     auto report = co_await mEngine.report(engine == nullptr ? 0 : engine->layers);
     const bool wasReached = mReport.has_value();
     if (wasReached != report.has_value()) {
         logLine(report ? LogLevel::Info : LogLevel::Warning,
                 report ? "engine-regained" : "engine-lost", {});
     }
-    noteEngineLife(report);
+    detectEngineRestart(report);
     mReport = std::move(report);
-    tellLoad();
+    reportLoad();
     co_return mReport.has_value();
 }
 
 // An engine that started again has taken no order of ours and holds no weights.
 // Waiting for the load that its earlier life was ordered would keep it empty.
-void StageService::noteEngineLife(const std::optional<EngineReport> &report)
+void WeightStagingService::detectEngineRestart(const std::optional<EngineReport> &report)
 {
-    if (!report || report->born == 0 || report->born == mEngineBorn) {
+    if (!report || report->born == 0 || report->born == mEngineIncarnation) {
         return;
     }
-    if (mEngineBorn != 0) {
+    if (mEngineIncarnation != 0) {
         logLine(LogLevel::Warning, "engine-started-again",
                 {{"born", report->born}, {"wasLoading", mIsLoading}});
         mIsLoading = false;
     }
-    mEngineBorn = report->born;
+    mEngineIncarnation = report->born;
 }
 
-void StageService::tellLoad()
+void WeightStagingService::reportLoad()
 {
     ReplicaLoad load;
     if (mReport) {
@@ -194,7 +195,7 @@
 }
 
 // Chunks tell: requests to the engine come in on the same link.
-bool StageService::isLinkSlow() const
+bool WeightStagingService::isLinkSlow() const
 {
     return mServer->isSlow() || std::ranges::any_of(mFetches, [](const VersionFetch &one) {
                return !one.fetch->isComplete()
@@ -202,17 +203,17 @@
            });
 }
 
-const EngineFigures *StageService::figures() const
+const EngineFigures *WeightStagingService::engineFigures() const
 {
     const RouteTablePtr &table = mConfig->table();
     if (!table) {
         return nullptr;
     }
-    const ServiceFigures *service = table->service(mStager.service);
+    const ServiceFigures *service = table->service(mStagerSettings.service);
     return service == nullptr || !service->engine ? nullptr : &*service->engine;
 }
 
-std::optional<Tcp::endpoint> StageService::origin() const
+std::optional<Tcp::endpoint> WeightStagingService::originEndpoint() const
 {
     const RouteTablePtr &table = mConfig->table();
     const OriginFigures *figures = table ? table->origin() : nullptr;
@@ -223,7 +224,7 @@
     return address ? std::optional(*address) : std::nullopt;
 }
 
-std::uint64_t StageService::loadedVersion(std::string_view model) const
+std::uint64_t WeightStagingService::loadedVersion(std::string_view model) const
 {
     if (!mReport) {
         return 0;
@@ -236,94 +237,98 @@
     return 0;
 }
 
-awaitable<void> StageService::drivePeers()
+awaitable<void> WeightStagingService::runRollout()
 {
     // Whoever knows no other members takes itself for the owner of every chunk.
-    const Instant alone = now() + sMembersPatience;
-    while (!mStopped && now() < alone && mMembers->stagersOf(mStager.service).size() <= 1) {
-        co_await sleepFor(sMembersStep);
+    const Instant alone = now() + sMembersTimeout;
+    while (!mStopped && now() < alone && mMembers->stagersOf(mStagerSettings.service).size() <= 1) {
+        co_await sleepFor(sMembersPollInterval);
     }
-    co_await sleepFor(sMembersStep);
+    co_await sleepFor(sMembersPollInterval);
     while (!mStopped) {
-        if (figures() != nullptr && !figures()->models.empty()) {
-            co_await bringWeights();
+        if (engineFigures() != nullptr && !engineFigures()->models.empty()) {
+            co_await advanceRollout();
         }
-        co_await mWake->waitFor(sWeightsEvery);
+        co_await mWakeSignal->waitFor(sRolloutInterval);
     }
 }
 
 // One step towards the newest named version. It is fetched at once; the one
 // before it goes on, since it is due sooner and the origin may fail any time.
-awaitable<void> StageService::bringWeights()
+awaitable<void> WeightStagingService::advanceRollout()
 {
-    const std::string model = figures()->models.front();
+    const std::string model = engineFigures()->models.front();
     const std::uint64_t newest = mConfig->weights().newest(model);
     const std::uint64_t loaded = loadedVersion(model);
-    noteFetched();
-    const bool isBegun = !mFetches.empty() && mFetches.back().wanted.version >= newest
-        && mStore->find(mFetches.back().wanted.digest) != nullptr;
+    updateFetches();
+    const bool isFetching = !mFetches.empty() && mFetches.back().id.version >= newest
+        && mStore->find(mFetches.back().id.digest) != nullptr;
     // Beside the newest, whose manifest may take long to come: an origin that dies soon
     // still gives this box's share of the older one.
-    if (!std::exchange(mHasJoined, true)) {
-        asio::co_spawn(mWake->executor(), joinOlderFetch(model, newest), asio::detached);
+    if (!std::exchange(mHasTriedOlderFetch, true)) {
+        asio::co_spawn(mWakeSignal->executor(), joinOlderFetch(model, newest), asio::detached);
     }
-    if (!isBegun && !co_await startFetch(model, newest)) {
-        co_await sleepFor(sRetryPause);
+    if (!isFetching && !co_await startFetch(model, newest)) {
+        co_await sleepFor(sRetryDelay);
     }
     if (!mReport) {
         co_return; // an engine starts about as long as half a fetch takes
     }
     if (mIsLoading) {
-        noteLoaded(model, loaded);
+        checkLoadFinished(model, loaded);
         co_return;
     }
-    const bool isDue = loaded < mReady.version && mStore->find(mReady.digest) != nullptr;
-    if (isDue && (loaded == 0 || isMyTurn(model, mReady.version))) {
-        const VersionInHand wanted = mReady;
-        co_await loadStaged(model, wanted);
+    const bool isLoadDue
+        = loaded < mCompleteVersion.version && mStore->find(mCompleteVersion.digest) != nullptr;
+    if (isLoadDue && (loaded == 0 || isMyTurn(model, mCompleteVersion.version))) {
+        const VersionId id = mCompleteVersion;
+        co_await stageAndLoad(model, id);
     }
 }
 
-void StageService::noteLoaded(std::string_view model, std::uint64_t loaded)
+void WeightStagingService::checkLoadFinished(std::string_view model, std::uint64_t loaded)
 {
-    const bool isOver = !mReport->isBusy && now() - mOrderedAt > sOrderLost;
-    if (loaded != mOrdered && !isOver) {
+    const bool isOver = !mReport->isBusy && now() - mOrderedAt > sOrderTimeout;
+    if (loaded != mOrderedVersion && !isOver) {
         return;
     }
     const auto took = std::chrono::duration_cast<Milliseconds>(now() - mOrderedAt);
-    logLine(
-        loaded == mOrdered ? LogLevel::Info : LogLevel::Warning, "load-ended",
-        {{"model", model}, {"version", mOrdered}, {"loaded", loaded}, {"tookMs", took.count()}});
+    logLine(loaded == mOrderedVersion ? LogLevel::Info : LogLevel::Warning, "load-ended",
+            {{"model", model},
+             {"version", mOrderedVersion},
+             {"loaded", loaded},
+             {"tookMs", took.count()}});
     mIsLoading = false;
-    tellLoad();
+    reportLoad();
 }
 
-bool StageService::isMyTurn(const std::string &model, std::uint64_t version) const
+bool WeightStagingService::isMyTurn(const std::string &model, std::uint64_t version) const
 {
-    const NamedVersion *named = mConfig->weights().find(model);
+    const PublishedVersion *named = mConfig->weights().find(model);
     if (named == nullptr) {
         return true;
     }
     std::vector<std::string> boxes;
-    for (const Member &member : mMembers->stagersOf(mStager.service)) {
+    for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
         boxes.push_back(member.box);
     }
     const ReloadTurn turn(mSettings.bounds.weightsTime);
     const Instant learnedAt = mConfig->weights().learnedAt(model, version);
-    return now() >= turn.at(versionKey(model, version), mSettings.box, boxes, learnedAt, mReadyAt);
+    return now()
+        >= turn.at(versionKey(model, version), mSettings.box, boxes, learnedAt, mCompleteSince);
 }
 
-void StageService::noteFetched()
+void WeightStagingService::updateFetches()
 {
     for (const VersionFetch &one : mFetches) {
-        if (one.fetch->isComplete() && one.wanted.version > mReady.version) {
-            mReady = one.wanted;
-            mReadyAt = now();
+        if (one.fetch->isComplete() && one.id.version > mCompleteVersion.version) {
+            mCompleteVersion = one.id;
+            mCompleteSince = now();
         }
     }
     // Whatever is older than one that is here whole is not needed any more.
     std::erase_if(mFetches, [&](const VersionFetch &one) {
-        const bool isOver = one.wanted.version < mReady.version;
+        const bool isOver = one.id.version < mCompleteVersion.version;
         if (isOver) {
             one.fetch->cancel();
         }
@@ -332,50 +337,50 @@
 }
 
 // Gets the manifest of a version and begins to fetch its chunks.
-awaitable<bool> StageService::startFetch(std::string model, std::uint64_t version)
+awaitable<bool> WeightStagingService::startFetch(std::string model, std::uint64_t version)
 {
-    auto text = co_await mManifests->text(model, version);
+    auto text = co_await mManifests->fetchManifest(model, version);
     if (!text) {
         logLine(LogLevel::Warning, "manifest-missing",
                 {{"model", model}, {"version", version}, {"problem", text.error()}});
         co_return false;
     }
-    const auto wanted = co_await keepManifest(model, version, std::move(*text));
-    if (!wanted) {
+    const auto id = co_await storeManifest(model, version, std::move(*text));
+    if (!id) {
         co_return false;
     }
-    while (mFetches.size() >= sMostFetches) {
+    while (mFetches.size() >= sMaxFetches) {
         mFetches.front().fetch->cancel();
         mFetches.erase(mFetches.begin());
     }
-    mFetches.push_back({*wanted, beginFetch(model, *wanted)});
+    mFetches.push_back({*id, launchFetch(model, *id)});
     co_return true;
 }
 
 // Opens the version in the store, with what lies of it in the stage already.
-awaitable<std::optional<StageService::VersionInHand>>
-StageService::keepManifest(std::string model, std::uint64_t version, std::string text)
+awaitable<std::optional<WeightStagingService::VersionId>>
+WeightStagingService::storeManifest(std::string model, std::uint64_t version, std::string text)
 {
     auto manifest = Manifest::parse(text);
     if (!manifest) {
         logLine(LogLevel::Error, "manifest-unreadable", {{"problem", manifest.error()}});
         co_return std::nullopt;
     }
-    const VersionInHand wanted{version, sha256Hex(text)};
-    if (mStore->find(wanted.digest) == nullptr) {
-        mStore->open(wanted.digest, std::move(*manifest), text);
+    const VersionId id{version, sha256Hex(text)};
+    if (mStore->find(id.digest) == nullptr) {
+        mStore->open(id.digest, std::move(*manifest), text);
     }
-    co_await adoptStage(model, wanted);
-    co_return wanted;
+    co_await adoptStagedChunks(model, id);
+    co_return id;
 }
 
 // The store tells the newest version only. Others may still fetch the one before it and
 // wait for the chunks that this box owns; without those, all replicas were without usable
 // weights for 7 s (two versions 2 s apart, 6 of 76 agents killed between them, the origin
 // dead soon after).
-awaitable<void> StageService::joinOlderFetch(std::string model, std::uint64_t newest)
+awaitable<void> WeightStagingService::joinOlderFetch(std::string model, std::uint64_t newest)
 {
-    std::string text = co_await mManifests->oldestFetched(model);
+    std::string text = co_await mManifests->fetchOldestNeeded(model);
     const auto manifest = Manifest::parse(text);
     if (!manifest) {
         co_return; // nobody fetches an older one
@@ -386,21 +391,22 @@
     if (version <= loadedVersion(model) || version >= newest) {
         co_return;
     }
-    if (const auto wanted = co_await keepManifest(model, version, std::move(text))) {
-        mFetches.insert(mFetches.begin(), {*wanted, beginFetch(model, *wanted)});
+    if (const auto id = co_await storeManifest(model, version, std::move(text))) {
+        mFetches.insert(mFetches.begin(), {*id, launchFetch(model, *id)});
     }
 }
 
 // What other agents may ask for: the manifests of versions that are fetched here. The
 // oldest one that counts is newer than what runs already.
-const std::string *StageService::heldManifest(std::string_view model, std::uint64_t version) const
+const std::string *WeightStagingService::localManifest(std::string_view model,
+                                                       std::uint64_t version) const
 {
-    const bool isOldestAsked = version == ManifestExchange::sOldestFetched;
+    const bool isOldestRequested = version == ManifestExchange::sOldestNeeded;
     const std::uint64_t loaded = loadedVersion(model);
     for (const VersionFetch &one : mFetches) {
-        const StoredVersion *stored = mStore->find(one.wanted.digest);
+        const StoredVersion *stored = mStore->find(one.id.digest);
         const bool isAsked
-            = isOldestAsked ? one.wanted.version > loaded : one.wanted.version == version;
+            = isOldestRequested ? one.id.version > loaded : one.id.version == version;
         if (isAsked && stored != nullptr && stored->manifest.service == model) {
             return &stored->manifestText;
         }
@@ -409,12 +415,12 @@
 }
 
 // What lies in the stage since an earlier life need not come over the network.
-awaitable<void> StageService::adoptStage(std::string model, VersionInHand wanted)
+awaitable<void> WeightStagingService::adoptStagedChunks(std::string model, VersionId id)
 {
     if (!mReport) {
         co_return; // the engine cannot be asked yet
     }
-    const std::string digest = wanted.digest;
+    const std::string digest = id.digest;
     const std::uint32_t count = mStore->find(digest)->manifest.chunkCount();
     std::uint32_t adopted = 0;
     for (std::uint32_t index = 0; index < count && !mStopped; ++index) {
@@ -423,69 +429,69 @@
         if (stored == nullptr) {
             co_return;
         }
-        const bool isRight = data && sha256Hex(*data) == stored->manifest.chunkDigests[index];
-        if (isRight && !stored->has[index]) {
+        const bool isIntact = data && sha256Hex(*data) == stored->manifest.chunkDigests[index];
+        if (isIntact && !stored->has[index]) {
             mStore->put(digest, index, std::move(*data));
             ++adopted;
         }
         // A stage that begins with another version holds nothing of this one.
-        if (!isRight && index == 0) {
+        if (!isIntact && index == 0) {
             break;
         }
     }
-    logLine(LogLevel::Info, "stage-adopted", {{"version", wanted.version}, {"chunks", adopted}});
+    logLine(LogLevel::Info, "stage-adopted", {{"version", id.version}, {"chunks", adopted}});
 }
 
 // How long the origin's link needs for one chunk; zero where that is not told.
-Microseconds StageService::originSpacing(const VersionInHand &wanted) const
+Microseconds WeightStagingService::originPullInterval(const VersionId &id) const
 {
     const RouteTablePtr &table = mConfig->table();
     const OriginFigures *figures = table ? table->origin() : nullptr;
-    const StoredVersion *stored = mStore->find(wanted.digest);
+    const StoredVersion *stored = mStore->find(id.digest);
     if (figures == nullptr || figures->linkMbit <= 0 || stored == nullptr) {
         return Microseconds(0);
     }
-    const double bytesPerMicrosecond = figures->linkMbit * sBytesPerMbit / sMicroseconds;
-    const double bytes = stored->manifest.chunkBytes * sOriginBusy;
+    const double bytesPerMicrosecond = figures->linkMbit * sBytesPerMbit / sMicrosecondsPerSecond;
+    const double bytes = stored->manifest.chunkBytes * sOriginIntervalFactor;
     return Microseconds(static_cast<std::int64_t>(bytes / bytesPerMicrosecond));
 }
 
-std::shared_ptr<WeightFetch> StageService::beginFetch(const std::string &model,
-                                                      const VersionInHand &wanted)
+std::shared_ptr<WeightFetch> WeightStagingService::launchFetch(const std::string &model,
+                                                               const VersionId &id)
 {
-    const std::uint64_t version = wanted.version;
+    const std::uint64_t version = id.version;
     ChunkPlan::Options options;
-    options.originParallel = sOriginParallel;
-    options.peerParallel = sPeerParallel;
-    options.neighbours = sNeighbours;
-    options.nearOnly = true;
-    options.takeover = sTakeover;
-    options.originSpacing = originSpacing(wanted);
-    options.originFrom = mConfig->weights().learnedAt(model, version) + sNamedToBegin;
+    options.maxOriginRequests = sMaxOriginRequests;
+    options.maxPeerRequests = sMaxPeerRequests;
+    options.neighbourCount = sNeighbourCount;
+    options.hasSingleImport = true;
+    options.maxTakeoverDelay = sMaxTakeoverDelay;
+    options.originPullInterval = originPullInterval(id);
+    options.originPullStart = mConfig->weights().learnedAt(model, version) + sManifestDelay;
     options.seed = randomSeed();
     WeightFetch::Parts parts{
         {mSettings.box, mSettings.dataCentre},
         [this](std::string box, std::string path) {
-            return openBox(std::move(box), std::move(path));
+            return openPeerStream(std::move(box), std::move(path));
         },
         []() -> awaitable<std::string> { co_return std::string(); },
         [this, model, version](std::uint32_t index) { return originChunk(model, version, index); },
         *mStore,
         mIngress,
-        mCounts,
+        mFetchCounts,
         [this] { return members(); },
-        [this] { mWake->notify(); }};
-    auto fetch = std::make_shared<WeightFetch>(
-        VersionTarget{std::to_string(version), wanted.digest}, options, std::move(parts));
+        [this] { mWakeSignal->notify(); }};
+    auto fetch = std::make_shared<WeightFetch>(VersionTarget{std::to_string(version), id.digest},
+                                               options, std::move(parts));
     logLine(LogLevel::Info, "fetch-begun", {{"model", model}, {"version", version}});
-    asio::co_spawn(mWake->executor(), WeightFetch::run(fetch), asio::detached);
+    asio::co_spawn(mWakeSignal->executor(), WeightFetch::run(fetch), asio::detached);
     return fetch;
 }
 
 awaitable<tl::expected<std::string, ChunkFailure>>
-StageService::originChunk(std::string model, std::uint64_t version, std::uint32_t index)
+WeightStagingService::originChunk(std::string model, std::uint64_t version, std::uint32_t index)
 {
-    const auto address = origin();
+    const auto address = originEndpoint();
     if (!address) {
         co_return tl::unexpected(ChunkFailure::Gone);
     }
@@ -497,18 +503,18 @@
     co_return std::move(*data);
 }
 
-std::vector<SwarmMember> StageService::members() const
+std::vector<SwarmMember> WeightStagingService::members() const
 {
     std::vector<SwarmMember> all;
-    for (const Member &member : mMembers->stagersOf(mStager.service)) {
+    for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
         all.push_back({member.box, member.dataCentre});
     }
     return all;
 }
 
-awaitable<PeerStreamPtr> StageService::openBox(std::string box, std::string path)
+awaitable<PeerStreamPtr> WeightStagingService::openPeerStream(std::string box, std::string path)
 {
-    for (const Member &member : mMembers->stagersOf(mStager.service)) {
+    for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
         if (member.box == box) {
             co_return co_await mHub->open(member.peers, std::move(path));
         }
@@ -517,40 +523,39 @@
 }
 
 // Stages, reads back, and orders the load; false where it has to be tried again.
-awaitable<bool> StageService::loadStaged(std::string model, VersionInHand wanted)
+awaitable<bool> WeightStagingService::stageAndLoad(std::string model, VersionId id)
 {
     if (mReport->isBusy) {
         co_return false; // a load under way still reads the stage
     }
     // A later life of the engine may have lost the stage that is looked at here.
-    const std::uint64_t life = mEngineBorn;
-    if (!co_await isStageRight(model, wanted.digest)) {
-        if (!co_await fillStage(model, wanted.digest)
-            || !co_await isStageRight(model, wanted.digest)) {
-            co_await sleepFor(sRetryPause);
+    const std::uint64_t life = mEngineIncarnation;
+    if (!co_await verifyStage(model, id.digest)) {
+        if (!co_await writeStage(model, id.digest) || !co_await verifyStage(model, id.digest)) {
+            co_await sleepFor(sRetryDelay);
             co_return false;
         }
     }
     mIsLoading = true;
-    mOrdered = wanted.version;
+    mOrderedVersion = id.version;
     mOrderedAt = now();
-    tellLoad();
-    if (!co_await emptyQueue() || mReport->isBusy || mEngineBorn != life) {
+    reportLoad();
+    if (!co_await drainEngineQueue() || mReport->isBusy || mEngineIncarnation != life) {
         mIsLoading = false;
         co_return false;
     }
     const std::uint64_t ordersTaken = mReport->ordersTaken;
     mOrderedAt = now();
-    const OrderAnswer answer = co_await mEngine.load(model, wanted.version, ordersTaken);
+    const OrderAnswer answer = co_await mEngine.load(model, id.version, ordersTaken);
     logLine(LogLevel::Info, "load-ordered",
             {{"model", model},
-             {"version", wanted.version},
+             {"version", id.version},
              {"answer", static_cast<int>(answer)},
              {"ordersTaken", ordersTaken},
              {"running", mReport ? mReport->running : 0}});
     if (answer == OrderAnswer::Refused) {
         mIsLoading = false;
-        co_await sleepFor(sRetryPause);
+        co_await sleepFor(sRetryDelay);
     }
     co_return answer != OrderAnswer::Refused;
 }
@@ -558,19 +563,19 @@
 // Gateways send nothing more, and what waits at the engine gets its place. What runs ends
 // in its own time: the order waits for it. Broken off, a stream would end before its caller
 // wherever no other replica can take it.
-awaitable<bool> StageService::emptyQueue()
+awaitable<bool> WeightStagingService::drainEngineQueue()
 {
-    const Instant until = now() + sQueueTime;
+    const Instant until = now() + sQueueDrainTimeout;
     do {
-        co_await sleepFor(sTellFirst);
-        if (!co_await lookAtEngine()) {
+        co_await sleepFor(sLoadReportDelay);
+        if (!co_await pollEngine()) {
             co_return false;
         }
     } while (now() < until && mReport->waiting > 0 && !mStopped);
     co_return true;
 }
 
-awaitable<bool> StageService::fillStage(std::string model, std::string digest)
+awaitable<bool> WeightStagingService::writeStage(std::string model, std::string digest)
 {
     const std::uint32_t count = mStore->find(digest)->manifest.chunkCount();
     for (std::uint32_t index = 0; index < count && !mStopped; ++index) {
@@ -587,15 +592,15 @@
     co_return true;
 }
 
-awaitable<bool> StageService::isStageRight(std::string model, std::string digest)
+awaitable<bool> WeightStagingService::verifyStage(std::string model, std::string digest)
 {
     const std::uint32_t count = mStore->find(digest)->manifest.chunkCount();
     for (std::uint32_t index = 0; index < count && !mStopped; ++index) {
         const auto data = co_await mEngine.stageGet(model, index);
         const StoredVersion *stored = mStore->find(digest);
-        const bool isRight
+        const bool isIntact
             = stored != nullptr && data && sha256Hex(*data) == stored->manifest.chunkDigests[index];
-        if (!isRight) {
+        if (!isIntact) {
             co_return false;
         }
     }
--- a/src/libloomjunction/gateway/stageservice.h
+++ b/src/libloomjunction/gateway/weightstagingservice.h
@@ -1,5 +1,5 @@
 /*
- * stageservice.h
+ * weightstagingservice.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -36,12 +36,12 @@
  * this box's turn, reads them back, and orders the load only when every one
  * is right. Nobody else gives this engine orders.
  */
-class StageService final : public Service
+class WeightStagingService final : public Service
 {
 public:
     static constexpr std::string_view sName = "stage";
 
-    StageService(EnginePort &engine, Metrics &metrics, const DirectSettings &settings);
+    WeightStagingService(EnginePort &engine, Metrics &metrics, const DirectSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -49,7 +49,7 @@
 
 private:
     /** A version by its number and the digest of its manifest. */
-    struct VersionInHand
+    struct VersionId
     {
         std::uint64_t version = 0; ///< zero: none
         std::string digest;
@@ -57,45 +57,45 @@
 
     struct VersionFetch
     {
-        VersionInHand wanted;
+        VersionId id;
         std::shared_ptr<WeightFetch> fetch;
     };
 
-    awaitable<void> drive();
-    awaitable<void> drivePeers();
-    awaitable<bool> lookAtEngine();
-    void noteEngineLife(const std::optional<EngineReport> &report);
-    bool isCalm() const;
-    awaitable<void> bringWeights();
+    awaitable<void> runEnginePolling();
+    awaitable<void> runRollout();
+    awaitable<bool> pollEngine();
+    void detectEngineRestart(const std::optional<EngineReport> &report);
+    bool isUpToDate() const;
+    awaitable<void> advanceRollout();
     awaitable<bool> startFetch(std::string model, std::uint64_t version);
-    awaitable<std::optional<VersionInHand>> keepManifest(std::string model, std::uint64_t version,
-                                                         std::string text);
+    awaitable<std::optional<VersionId>> storeManifest(std::string model, std::uint64_t version,
+                                                      std::string text);
     awaitable<void> joinOlderFetch(std::string model, std::uint64_t newest);
-    void noteFetched();
-    const std::string *heldManifest(std::string_view model, std::uint64_t version) const;
-    awaitable<void> adoptStage(std::string model, VersionInHand wanted);
+    void updateFetches();
+    const std::string *localManifest(std::string_view model, std::uint64_t version) const;
+    awaitable<void> adoptStagedChunks(std::string model, VersionId id);
     awaitable<tl::expected<std::string, ChunkFailure>>
     originChunk(std::string model, std::uint64_t version, std::uint32_t index);
-    Microseconds originSpacing(const VersionInHand &wanted) const;
-    std::shared_ptr<WeightFetch> beginFetch(const std::string &model, const VersionInHand &wanted);
-    void noteLoaded(std::string_view model, std::uint64_t loaded);
-    awaitable<bool> loadStaged(std::string model, VersionInHand wanted);
-    awaitable<bool> emptyQueue();
-    awaitable<bool> fillStage(std::string model, std::string digest);
-    awaitable<bool> isStageRight(std::string model, std::string digest);
+    Microseconds originPullInterval(const VersionId &id) const;
+    std::shared_ptr<WeightFetch> launchFetch(const std::string &model, const VersionId &id);
+    void checkLoadFinished(std::string_view model, std::uint64_t loaded);
+    awaitable<bool> stageAndLoad(std::string model, VersionId id);
+    awaitable<bool> drainEngineQueue();
+    awaitable<bool> writeStage(std::string model, std::string digest);
+    awaitable<bool> verifyStage(std::string model, std::string digest);
     bool isMyTurn(const std::string &model, std::uint64_t version) const;
     std::vector<SwarmMember> members() const;
-    awaitable<PeerStreamPtr> openBox(std::string box, std::string path);
-    std::optional<Tcp::endpoint> origin() const;
+    awaitable<PeerStreamPtr> openPeerStream(std::string box, std::string path);
+    std::optional<Tcp::endpoint> originEndpoint() const;
     bool isLinkSlow() const;
-    const EngineFigures *figures() const;
+    const EngineFigures *engineFigures() const;
     std::uint64_t loadedVersion(std::string_view model) const;
-    void tellLoad();
+    void reportLoad();
 
     EnginePort &mEngine;
     Metrics &mMetrics;
     const DirectSettings &mSettings;
-    const StagerSettings &mStager;
+    const StagerSettings &mStagerSettings;
     DirectConfig *mConfig = nullptr;
     MemberService *mMembers = nullptr;
     PeerHub *mHub = nullptr;
@@ -105,16 +105,16 @@
     TokenBucket mEgress;
     std::unique_ptr<ChunkServer> mServer;
     std::unique_ptr<ManifestExchange> mManifests;
-    FetchCounts mCounts;
-    std::unique_ptr<Signal> mWake;
+    FetchCounts mFetchCounts;
+    std::unique_ptr<Signal> mWakeSignal;
 
     std::optional<EngineReport> mReport;
-    std::uint64_t mEngineBorn = 0; ///< the start that the engine told last; zero: none yet
+    std::uint64_t mEngineIncarnation = 0; ///< the start that the engine told last; zero: none yet
     std::vector<VersionFetch> mFetches; ///< oldest first; the last is the newest named
-    bool mHasJoined = false; ///< others were asked for a version that they still fetch
-    VersionInHand mReady; ///< the newest one that is here whole
-    Instant mReadyAt; ///< since when
-    std::uint64_t mOrdered = 0; ///< the version of the last order
+    bool mHasTriedOlderFetch = false; ///< others were asked for a version that they still fetch
+    VersionId mCompleteVersion; ///< the newest one that is here whole
+    Instant mCompleteSince; ///< since when
+    std::uint64_t mOrderedVersion = 0; ///< the version of the last order
     Instant mOrderedAt;
     bool mIsLoading = false; ///< an order is out and the engine has not said it is done
     bool mStopped = false;
--- a/src/libloomjunction/weights/chunkserver.cpp
+++ b/src/libloomjunction/weights/chunkserver.cpp
@@ -15,20 +15,20 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds sHaveEvery{10};
-constexpr std::chrono::milliseconds sHaveKeepAlive{1'000};
+constexpr std::chrono::milliseconds sHaveInterval{10};
+constexpr std::chrono::milliseconds sHaveKeepAliveInterval{1'000};
 constexpr std::chrono::milliseconds sRequestTimeout{5'000};
-constexpr double sSliceWeight = 0.2;
+constexpr double sSliceTimeWeight = 0.2;
 // A slice takes some 7 ms on the narrowest link that is well.
 constexpr double sSlowSliceSeconds = 0.06;
 constexpr std::size_t sSliceBytes = std::size_t{8} * 1024;
 
 } // namespace
 
-ChunkServer::ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t mostUploads)
+ChunkServer::ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t maxUploads)
     : mStore(store)
     , mEgress(egress)
-    , mMostUploads(mostUploads)
+    , mMaxUploads(maxUploads)
 {
 }
 
@@ -46,12 +46,12 @@
     while (stream->isOpen() && !mStopped) {
         const StoredVersion *stored = mStore.find(digest);
         const std::size_t count = stored == nullptr ? 0 : stored->order.size();
-        const bool quiet = now() - lastSent >= sHaveKeepAlive;
+        const bool isKeepAliveDue = now() - lastSent >= sHaveKeepAliveInterval;
         if (count < sent) {
             stream->reset(); // dropped and begun anew: the follower must forget it all
             co_return;
         }
-        if (count > sent || quiet) {
+        if (count > sent || isKeepAliveDue) {
             wire::HaveUpdate update;
             for (; sent < count; ++sent) {
                 update.add_added(stored->order[sent]);
@@ -59,10 +59,10 @@
             stream->send(update);
             lastSent = now();
             // Chunks that come close together go out in one update.
-            co_await sleepFor(sHaveEvery);
+            co_await sleepFor(sHaveInterval);
             continue;
         }
-        co_await mStore.added().waitFor(sHaveKeepAlive);
+        co_await mStore.added().waitFor(sHaveKeepAliveInterval);
     }
 }
 
@@ -81,11 +81,11 @@
     if (stored != nullptr && (*request)->manifest()) {
         answer.set_found(true);
         answer.set_data(stored->manifestText);
-    } else if (isHere && mUploads < mostUploads()) {
+    } else if (isHere && mUploadCount < maxUploads()) {
         const std::string data = stored->chunks[index];
-        ++mUploads;
+        ++mUploadCount;
         co_await sendSlices(stream, data);
-        --mUploads;
+        --mUploadCount;
         stream->finish();
         co_return;
     } else {
@@ -97,13 +97,13 @@
 
 bool ChunkServer::isSlow() const
 {
-    return mUploads > 0 && mMeanSliceSeconds > sSlowSliceSeconds;
+    return mUploadCount > 0 && mMeanSliceSeconds > sSlowSliceSeconds;
 }
 
 // Several uploads at once on a slow link only wait for each other.
-std::uint32_t ChunkServer::mostUploads() const
+std::uint32_t ChunkServer::maxUploads() const
 {
-    return mMeanSliceSeconds > sSlowSliceSeconds ? 1 : mMostUploads;
+    return mMeanSliceSeconds > sSlowSliceSeconds ? 1 : mMaxUploads;
 }
 
 // In slices, so that live answers on the same link never wait behind a whole chunk.
@@ -123,7 +123,7 @@
         // The next slice waits for this one, so a narrow link holds a few of
         // them at most, and live answers little longer.
         const double took = std::chrono::duration<double>(now() - queued).count();
-        mMeanSliceSeconds += sSliceWeight * (took - mMeanSliceSeconds);
+        mMeanSliceSeconds += sSliceTimeWeight * (took - mMeanSliceSeconds);
         if (!sent) {
             stream->reset(); // it stands still: the place is for others
             co_return;
--- a/src/libloomjunction/weights/chunkserver.h
+++ b/src/libloomjunction/weights/chunkserver.h
@@ -25,8 +25,8 @@
 class ChunkServer
 {
 public:
-    /** @p mostUploads: chunks on their way out at once; more are told that this box is busy. */
-    ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t mostUploads);
+    /** @p maxUploads: chunks on their way out at once; more are told that this box is busy. */
+    ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t maxUploads);
 
     /** Tells which chunks of a version are here, as they come. */
     awaitable<void> serveHave(PeerStreamPtr stream);
@@ -34,18 +34,18 @@
     awaitable<void> serveChunk(PeerStreamPtr stream);
     void stop() { mStopped = true; }
 
-    std::uint32_t uploads() const { return mUploads; }
+    std::uint32_t uploads() const { return mUploadCount; }
     /** Slices take long to leave: the box's link is slow. */
     bool isSlow() const;
 
 private:
-    std::uint32_t mostUploads() const;
+    std::uint32_t maxUploads() const;
     awaitable<void> sendSlices(PeerStreamPtr stream, std::string_view data);
 
     ChunkStore &mStore;
     TokenBucket &mEgress;
-    std::uint32_t mMostUploads;
-    std::uint32_t mUploads = 0;
+    std::uint32_t mMaxUploads;
+    std::uint32_t mUploadCount = 0;
     double mMeanSliceSeconds = 0; ///< smoothed, from queueing a slice to its leaving
     bool mStopped = false;
 };
--- a/src/libloomjunction/weights/chunkstore.cpp
+++ b/src/libloomjunction/weights/chunkstore.cpp
@@ -12,24 +12,24 @@
 
 namespace Loom {
 
-ChunkStore::ChunkStore(const asio::any_io_executor &executor, std::uint64_t mostBytes)
-    : mMostBytes(mostBytes)
+ChunkStore::ChunkStore(const asio::any_io_executor &executor, std::uint64_t maxBytes)
+    : mMaxBytes(maxBytes)
     , mAdded(executor)
 {
 }
 
 StoredVersion &ChunkStore::open(const std::string &digest, Manifest manifest, std::string text)
 {
-    if (StoredVersion *known = find(digest)) {
-        return *known;
+    if (StoredVersion *existing = find(digest)) {
+        return *existing;
     }
-    makeRoom(manifest.sizeBytes);
+    evictFor(manifest.sizeBytes);
     auto stored = std::make_unique<StoredVersion>();
     stored->chunks.resize(manifest.chunkCount());
     stored->has.resize(manifest.chunkCount());
     stored->manifest = std::move(manifest);
     stored->manifestText = std::move(text);
-    stored->lastUse = ++mUses;
+    stored->lastUsed = ++mUseCount;
     return *mVersions.emplace(digest, std::move(stored)).first->second;
 }
 
@@ -39,7 +39,7 @@
     if (it == mVersions.end()) {
         return nullptr;
     }
-    it->second->lastUse = ++mUses;
+    it->second->lastUsed = ++mUseCount;
     return it->second.get();
 }
 
@@ -69,11 +69,11 @@
     mAdded.notify();
 }
 
-void ChunkStore::makeRoom(std::uint64_t bytes)
+void ChunkStore::evictFor(std::uint64_t bytes)
 {
-    while (!mVersions.empty() && mBytes + bytes > mMostBytes) {
+    while (!mVersions.empty() && mBytes + bytes > mMaxBytes) {
         const auto oldest = std::ranges::min_element(
-            mVersions, {}, [](const auto &pair) { return pair.second->lastUse; });
+            mVersions, {}, [](const auto &pair) { return pair.second->lastUsed; });
         drop(std::string(oldest->first));
     }
 }
--- a/src/libloomjunction/weights/chunkstore.h
+++ b/src/libloomjunction/weights/chunkstore.h
@@ -28,7 +28,7 @@
     std::vector<std::string> chunks; ///< empty string: not here
     std::vector<bool> has;
     std::vector<std::uint32_t> order; ///< indexes in the order in which they came
-    std::uint64_t lastUse = 0;
+    std::uint64_t lastUsed = 0;
 };
 
 /**
@@ -38,7 +38,7 @@
 class ChunkStore
 {
 public:
-    ChunkStore(const asio::any_io_executor &executor, std::uint64_t mostBytes);
+    ChunkStore(const asio::any_io_executor &executor, std::uint64_t maxBytes);
 
     /** Makes room for @p manifest and keeps its text. */
     StoredVersion &open(const std::string &digest, Manifest manifest, std::string text);
@@ -51,12 +51,12 @@
     Signal &added() { return mAdded; }
 
 private:
-    void makeRoom(std::uint64_t bytes);
+    void evictFor(std::uint64_t bytes);
 
     std::map<std::string, std::unique_ptr<StoredVersion>, std::less<>> mVersions;
-    std::uint64_t mMostBytes;
+    std::uint64_t mMaxBytes;
     std::uint64_t mBytes = 0;
-    std::uint64_t mUses = 0;
+    std::uint64_t mUseCount = 0;
     Signal mAdded;
 };
 
--- a/src/libloomjunction/weights/weightfetch.cpp
+++ b/src/libloomjunction/weights/weightfetch.cpp
@@ -25,21 +25,21 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds sManifestStep{50};
-constexpr std::chrono::milliseconds sManifestTurn{1'000};
+constexpr std::chrono::milliseconds sManifestRetryDelay{50};
+constexpr std::chrono::milliseconds sManifestTurnInterval{1'000};
 constexpr std::chrono::milliseconds sManifestTimeout{5'000};
 // A neighbour that takes this many times longer than usual is given up.
-constexpr double sSlowFactor = 6;
+constexpr double sChunkTimeoutFactor = 6;
 constexpr double sChunkTimeWeight = 0.1;
-constexpr std::chrono::milliseconds sLeastChunkTimeout{1'000};
-constexpr std::chrono::milliseconds sMostChunkTimeout{10'000};
+constexpr std::chrono::milliseconds sMinChunkTimeout{1'000};
+constexpr std::chrono::milliseconds sMaxChunkTimeout{10'000};
 constexpr double sSlowChunkSeconds = 0.6;
 constexpr double sRecentWeight = 0.4;
-constexpr std::chrono::milliseconds sPlanStep{100};
-constexpr Milliseconds sStall{1'500};
-constexpr std::chrono::milliseconds sFollowRetry{500};
+constexpr std::chrono::milliseconds sPlanInterval{100};
+constexpr Milliseconds sStallTimeout{1'500};
+constexpr std::chrono::milliseconds sFollowRetryDelay{500};
 // The other side sends an empty update at least this often.
-constexpr std::chrono::milliseconds sFollowSilence{5'000};
+constexpr std::chrono::milliseconds sFollowTimeout{5'000};
 
 } // namespace
 
@@ -47,21 +47,21 @@
     : mTarget(std::move(target))
     , mOptions(options)
     , mParts(std::move(parts))
-    , mProgress(mParts.store.added().executor())
+    , mProgressSignal(mParts.store.added().executor())
 {
 }
 
 void WeightFetch::cancel()
 {
     mCancelled = true;
-    mProgress.notify();
+    mProgressSignal.notify();
 }
 
 awaitable<void> WeightFetch::run(std::shared_ptr<WeightFetch> self)
 {
     const Instant begun = now();
     while (!self->mCancelled && !co_await self->fetchManifest()) {
-        co_await sleepFor(sManifestStep);
+        co_await sleepFor(sManifestRetryDelay);
     }
     if (self->mCancelled) {
         co_return;
@@ -82,7 +82,7 @@
 awaitable<bool> WeightFetch::fetchManifest()
 {
     if (StoredVersion *stored = mParts.store.find(mTarget.manifestDigest)) {
-        beginPlan(*stored);
+        createPlan(*stored);
         co_return true;
     }
     const std::string &self = mParts.self.box;
@@ -99,24 +99,24 @@
         const auto own
             = std::ranges::find_if(order, [&](auto index) { return boxes[index] == self; });
         const auto rank = static_cast<std::uint32_t>(own - order.begin());
-        const auto turn = sManifestTurn * static_cast<int>(rank / mOptions.originCopies);
-        const bool mine = now() - begun >= turn;
-        const std::string &asked = boxes[order[round % order.size()]];
+        const auto turn = sManifestTurnInterval * static_cast<int>(rank / mOptions.originCopies);
+        const bool isOwnTurn = now() - begun >= turn;
+        const std::string &askedBox = boxes[order[round % order.size()]];
         std::string text;
-        if (mine) {
+        if (isOwnTurn) {
             text = co_await manifestFromOrigin();
-        } else if (asked != self) {
-            text = co_await manifestFromPeer(asked);
+        } else if (askedBox != self) {
+            text = co_await manifestFromPeer(askedBox);
         }
-        if (keepManifest(text)) {
+        if (acceptManifest(text)) {
             co_return true;
         }
-        co_await sleepFor(sManifestStep);
+        co_await sleepFor(sManifestRetryDelay);
     }
     co_return false;
 }
 
-bool WeightFetch::keepManifest(const std::string &text)
+bool WeightFetch::acceptManifest(const std::string &text)
 {
     if (text.empty() || sha256Hex(text) != mTarget.manifestDigest) {
         return false;
@@ -126,17 +126,17 @@
         logLine(LogLevel::Error, "manifest-unreadable", {{"problem", manifest.error()}});
         return false;
     }
-    beginPlan(mParts.store.open(mTarget.manifestDigest, std::move(*manifest), text));
+    createPlan(mParts.store.open(mTarget.manifestDigest, std::move(*manifest), text));
     return true;
 }
 
-void WeightFetch::beginPlan(StoredVersion &stored)
+void WeightFetch::createPlan(StoredVersion &stored)
 {
     mPlan = std::make_unique<ChunkPlan>(mTarget.manifestDigest, stored.manifest.chunkCount(),
                                         mParts.self, mOptions, now());
     for (std::uint32_t index = 0; index < stored.has.size(); ++index) {
         if (stored.has[index]) {
-            mPlan->adopt(index);
+            mPlan->addStored(index);
         }
     }
 }
@@ -182,47 +182,48 @@
             co_await sleepFor(debt);
             continue;
         }
-        mPlan->setPeerParallel(peerParallel());
+        mPlan->setMaxPeerRequests(maxPeerRequests());
         for (ChunkFetch &fetch : mPlan->next(now())) {
-            asio::co_spawn(executor, fetchOne(shared_from_this(), std::move(fetch)),
+            asio::co_spawn(executor, fetchChunk(shared_from_this(), std::move(fetch)),
                            asio::detached);
         }
         logStall();
-        co_await mProgress.waitFor(sPlanStep);
+        co_await mProgressSignal.waitFor(sPlanInterval);
     }
 }
 
 void WeightFetch::logStall()
 {
     const ChunkProgress progress = mPlan->progress(now());
-    if (progress.sinceLast < sStall || now() - mStallLogged < sStall) {
+    if (progress.sinceLastChunk < sStallTimeout || now() - mStallLoggedAt < sStallTimeout) {
         return;
     }
-    mStallLogged = now();
+    mStallLoggedAt = now();
     logLine(LogLevel::Warning, "fetch-stalled",
             {{"version", mTarget.version},
-             {"have", progress.have},
-             {"asked", progress.asked},
-             {"held", progress.held},
-             {"unheld", progress.unheld},
-             {"firstUnheld", progress.firstUnheld},
-             {"owner", progress.ownerOfIt},
-             {"openOrigin", progress.openOrigin},
-             {"openPeers", progress.openPeers},
+             {"have", progress.storedCount},
+             {"asked", progress.requestedCount},
+             {"held", progress.availableCount},
+             {"unheld", progress.unavailableCount},
+             {"firstUnheld", progress.firstUnavailable},
+             {"owner", progress.firstUnavailableOwner},
+             {"openOrigin", progress.openOriginRequests},
+             {"openPeers", progress.openPeerRequests},
              {"members", mParts.members().size()},
-             {"followed", mFollowed.size()}});
+             {"followed", mFollowedPeers.size()}});
 }
 
 void WeightFetch::followNeighbours()
 {
     for (const std::string &box : mPlan->neighbours()) {
-        if (mFollowed.insert(box).second) {
-            asio::co_spawn(mProgress.executor(), follow(shared_from_this(), box), asio::detached);
+        if (mFollowedPeers.insert(box).second) {
+            asio::co_spawn(mProgressSignal.executor(), followPeer(shared_from_this(), box),
+                           asio::detached);
         }
     }
 }
 
-awaitable<void> WeightFetch::follow(std::shared_ptr<WeightFetch> self, std::string box)
+awaitable<void> WeightFetch::followPeer(std::shared_ptr<WeightFetch> self, std::string box)
 {
     const auto isWanted = [&] {
         return !self->mCancelled && !self->mPlan->isComplete() && self->mPlan->isNeighbour(box);
@@ -235,40 +236,40 @@
             request.set_box(self->mParts.self.box);
             stream->send(request);
             while (isWanted()) {
-                const auto deadline = std::chrono::steady_clock::now() + sFollowSilence;
+                const auto deadline = std::chrono::steady_clock::now() + sFollowTimeout;
                 const auto update = co_await stream->receiveMessage<wire::HaveUpdate>(deadline);
                 if (!update || !*update) {
                     break;
                 }
                 for (const std::uint32_t index : (*update)->added()) {
-                    self->mPlan->peerHas(box, index, now());
+                    self->mPlan->addPeerChunk(box, index, now());
                 }
-                self->mProgress.notify();
+                self->mProgressSignal.notify();
             }
             stream->reset();
-            self->mPlan->peerGone(box);
+            self->mPlan->clearPeerChunks(box);
         }
-        co_await sleepFor(sFollowRetry);
+        co_await sleepFor(sFollowRetryDelay);
     }
-    self->mFollowed.erase(box);
+    self->mFollowedPeers.erase(box);
 }
 
-awaitable<void> WeightFetch::fetchOne(std::shared_ptr<WeightFetch> self, ChunkFetch fetch)
+awaitable<void> WeightFetch::fetchChunk(std::shared_ptr<WeightFetch> self, ChunkFetch fetch)
 {
     const auto *peer = std::get_if<FromPeer>(&fetch.source);
     tl::expected<std::string, ChunkFailure> data = tl::unexpected(ChunkFailure::Gone);
     if (peer == nullptr) {
-        data = co_await self->fromOrigin(fetch.index);
+        data = co_await self->fetchFromOrigin(fetch.index);
     } else {
-        const auto begun = self->mOpenSince.insert(std::chrono::steady_clock::now());
-        data = co_await self->fromPeer(fetch.index, peer->box);
-        self->mOpenSince.erase(begun);
+        const auto begun = self->mOpenRequestStarts.insert(std::chrono::steady_clock::now());
+        data = co_await self->fetchFromPeer(fetch.index, peer->box);
+        self->mOpenRequestStarts.erase(begun);
     }
-    self->take(fetch, std::move(data));
-    self->mProgress.notify();
+    self->finishFetch(fetch, std::move(data));
+    self->mProgressSignal.notify();
 }
 
-awaitable<tl::expected<std::string, ChunkFailure>> WeightFetch::fromOrigin(std::uint32_t index)
+awaitable<tl::expected<std::string, ChunkFailure>> WeightFetch::fetchFromOrigin(std::uint32_t index)
 {
     auto data = co_await mParts.originChunk(index);
     if (data) {
@@ -279,16 +280,16 @@
 
 // On a link where chunks take long, several at once only wait for each other,
 // and live requests wait behind them.
-std::uint32_t WeightFetch::peerParallel() const
+std::uint32_t WeightFetch::maxPeerRequests() const
 {
-    return mRecentChunkSeconds > sSlowChunkSeconds ? 1 : mOptions.peerParallel;
+    return mRecentChunkSeconds > sSlowChunkSeconds ? 1 : mOptions.maxPeerRequests;
 }
 
 double WeightFetch::recentChunkSeconds() const
 {
     double open = 0;
-    if (!mOpenSince.empty()) {
-        const auto age = std::chrono::steady_clock::now() - *mOpenSince.begin();
+    if (!mOpenRequestStarts.empty()) {
+        const auto age = std::chrono::steady_clock::now() - *mOpenRequestStarts.begin();
         open = std::chrono::duration<double>(age).count();
     }
     return std::max(mRecentChunkSeconds, open);
@@ -297,15 +298,15 @@
 std::chrono::milliseconds WeightFetch::chunkTimeout() const
 {
     if (mMeanChunkSeconds <= 0) {
-        return sMostChunkTimeout;
+        return sMaxChunkTimeout;
     }
     const auto slow = std::chrono::milliseconds(
-        static_cast<std::int64_t>(mMeanChunkSeconds * sSlowFactor * 1000));
-    return std::clamp(slow, sLeastChunkTimeout, sMostChunkTimeout);
+        static_cast<std::int64_t>(mMeanChunkSeconds * sChunkTimeoutFactor * 1000));
+    return std::clamp(slow, sMinChunkTimeout, sMaxChunkTimeout);
 }
 
-awaitable<tl::expected<std::string, ChunkFailure>> WeightFetch::fromPeer(std::uint32_t index,
-                                                                         std::string box)
+awaitable<tl::expected<std::string, ChunkFailure>> WeightFetch::fetchFromPeer(std::uint32_t index,
+                                                                              std::string box)
 {
     const PeerStreamPtr stream = co_await openPeer(std::move(box), sChunkPath);
     if (!stream) {
@@ -323,8 +324,8 @@
         const auto answer = co_await stream->receiveMessage<wire::ChunkAnswer>(deadline);
         if (!answer) {
             stream->reset();
-            const bool late = answer.error() == PeerError::TimedOut;
-            co_return tl::unexpected(late ? ChunkFailure::TimedOut : ChunkFailure::Gone);
+            const bool isLate = answer.error() == PeerError::TimedOut;
+            co_return tl::unexpected(isLate ? ChunkFailure::TimedOut : ChunkFailure::Gone);
         }
         if (!*answer) {
             break; // every slice is here
@@ -343,7 +344,7 @@
     co_return std::move(data);
 }
 
-void WeightFetch::take(const ChunkFetch &fetch, tl::expected<std::string, ChunkFailure> data)
+void WeightFetch::finishFetch(const ChunkFetch &fetch, tl::expected<std::string, ChunkFailure> data)
 {
     StoredVersion *stored = mParts.store.find(mTarget.manifestDigest);
     if (stored == nullptr || mCancelled) {
@@ -351,14 +352,14 @@
     }
     if (data) {
         mParts.ingress.take(data->size(), now());
-        const bool intact = sha256Hex(*data) == stored->manifest.chunkDigests[fetch.index];
-        if (intact) {
+        const bool isIntact = sha256Hex(*data) == stored->manifest.chunkDigests[fetch.index];
+        if (isIntact) {
             mParts.store.put(mTarget.manifestDigest, fetch.index, std::move(*data));
             mPlan->received(fetch.index, fetch.source, now());
             return;
         }
         data = tl::unexpected(ChunkFailure::Corrupt);
-        ++mParts.counts.badChunks;
+        ++mParts.counts.corruptChunks;
         logLine(LogLevel::Warning, "chunk-corrupt",
                 {{"version", mTarget.version}, {"index", fetch.index}});
     }
--- a/src/libloomjunction/weights/weightfetch.h
+++ b/src/libloomjunction/weights/weightfetch.h
@@ -28,7 +28,7 @@
 {
     std::uint64_t originBytes = 0;
     std::uint64_t peerBytes = 0;
-    std::uint64_t badChunks = 0;
+    std::uint64_t corruptChunks = 0;
 };
 
 /**
@@ -65,7 +65,7 @@
     bool isComplete() const { return mPlan && mPlan->isComplete(); }
     /** Time that chunks from neighbours took of late, or that one takes already. */
     double recentChunkSeconds() const;
-    std::uint32_t haveCount() const { return mPlan ? mPlan->haveCount() : 0; }
+    std::uint32_t storedCount() const { return mPlan ? mPlan->storedCount() : 0; }
     std::uint32_t chunkCount() const { return mPlan ? mPlan->chunkCount() : 0; }
 
 private:
@@ -73,32 +73,33 @@
     awaitable<std::string> manifestFromOrigin();
     awaitable<PeerStreamPtr> openPeer(std::string box, std::string_view path);
     awaitable<std::string> manifestFromPeer(std::string box);
-    bool keepManifest(const std::string &text);
-    void beginPlan(StoredVersion &stored);
+    bool acceptManifest(const std::string &text);
+    void createPlan(StoredVersion &stored);
     awaitable<void> fetchChunks();
     void logStall();
     void logFailure(const ChunkFetch &fetch, ChunkFailure why) const;
     void followNeighbours();
-    static awaitable<void> follow(std::shared_ptr<WeightFetch> self, std::string box);
-    static awaitable<void> fetchOne(std::shared_ptr<WeightFetch> self, ChunkFetch fetch);
-    awaitable<tl::expected<std::string, ChunkFailure>> fromOrigin(std::uint32_t index);
-    awaitable<tl::expected<std::string, ChunkFailure>> fromPeer(std::uint32_t index,
-                                                                std::string box);
-    std::uint32_t peerParallel() const;
+    static awaitable<void> followPeer(std::shared_ptr<WeightFetch> self, std::string box);
+    static awaitable<void> fetchChunk(std::shared_ptr<WeightFetch> self, ChunkFetch fetch);
+    awaitable<tl::expected<std::string, ChunkFailure>> fetchFromOrigin(std::uint32_t index);
+    awaitable<tl::expected<std::string, ChunkFailure>> fetchFromPeer(std::uint32_t index,
+                                                                     std::string box);
+    std::uint32_t maxPeerRequests() const;
     std::chrono::milliseconds chunkTimeout() const;
-    void take(const ChunkFetch &fetch, tl::expected<std::string, ChunkFailure> data);
+    void finishFetch(const ChunkFetch &fetch, tl::expected<std::string, ChunkFailure> data);
 
     VersionTarget mTarget;
     ChunkPlan::Options mOptions;
     Parts mParts;
     std::unique_ptr<ChunkPlan> mPlan;
-    std::set<std::string> mFollowed;
+    std::set<std::string> mFollowedPeers;
     double mRecentChunkSeconds = 0; ///< smoothed over the last few
-    std::multiset<std::chrono::steady_clock::time_point> mOpenSince; ///< requests to neighbours
+    std::multiset<std::chrono::steady_clock::time_point>
+        mOpenRequestStarts; ///< requests to neighbours
     double mMeanChunkSeconds = 0; ///< smoothed time that a chunk from a neighbour takes
-    Instant mStallLogged;
+    Instant mStallLoggedAt;
     bool mCancelled = false;
-    Signal mProgress;
+    Signal mProgressSignal;
 };
 
 } // namespace Loom
--- a/src/loomjunctiond/agentport.cpp
+++ b/src/loomjunctiond/agentport.cpp
@@ -84,13 +84,13 @@
     status.set_engine_queue(mUpstream->engineLoad());
     if (const WeightFetch *fetch = mWeights->fetch()) {
         status.set_fetching_version(fetch->target().version);
-        status.set_fetched_chunks(fetch->haveCount());
+        status.set_fetched_chunks(fetch->storedCount());
         status.set_total_chunks(fetch->chunkCount());
     }
     const FetchCounts &counts = mWeights->counts();
     status.set_origin_bytes(counts.originBytes);
     status.set_peer_bytes(counts.peerBytes);
-    status.set_bad_chunks(counts.badChunks);
+    status.set_bad_chunks(counts.corruptChunks);
     return status;
 }
 
--- a/src/loomjunctiond/directdaemon.cpp
+++ b/src/loomjunctiond/directdaemon.cpp
@@ -21,8 +21,8 @@
 #include "platform.h"
 #include "quarantineservice.h"
 #include "replicaservice.h"
-#include "stageservice.h"
 #include "statsfront.h"
+#include "weightstagingservice.h"
 
 #include <csignal>
 #include <fstream>
@@ -109,7 +109,7 @@
     mKernel.add(std::make_unique<LoadReporter>(replica));
     mKernel.find<LoadReporter>(LoadReporter::sName)
         .setPermits(mKernel.find<PermitService>(PermitService::sName));
-    mKernel.add(std::make_unique<StageService>(*mPorts.engine, mMetrics, mSettings));
+    mKernel.add(std::make_unique<WeightStagingService>(*mPorts.engine, mMetrics, mSettings));
 }
 
 tl::expected<void, std::string> DirectDaemon::run()
--- a/src/loomjunctiond/upstreamservice.cpp
+++ b/src/loomjunctiond/upstreamservice.cpp
@@ -65,7 +65,7 @@
     if (alive) {
         takeReport(response->body);
     } else {
-        mVersions.engineLost();
+        mVersions.clearEngineReport();
         mGate.setVersions({});
     }
     setAlive(alive);
@@ -85,7 +85,7 @@
         }
     }
     mEngineLoad = static_cast<std::uint32_t>(jsonInteger(report, "load", 0));
-    mVersions.engineReports(loaded, now());
+    mVersions.setEngineReport(loaded, now());
     std::vector<std::string> announced = mVersions.announced();
     if (announced != mGate.versions()) {
         mGate.setVersions(std::move(announced));
--- a/src/loomjunctiond/weightservice.cpp
+++ b/src/loomjunctiond/weightservice.cpp
@@ -116,7 +116,7 @@
 void WeightService::noteLiveLatency(Microseconds latency)
 {
     const bool transferring = mServer.uploads() > 0 || mUpstream->versions().fetching().has_value();
-    mRate.noteLatency(latency, transferring);
+    mRate.addLatency(latency, transferring);
 }
 
 awaitable<void> WeightService::drive()
@@ -182,7 +182,7 @@
         mCounts,
         [this] { return members(); },
         [this, target] {
-            mUpstream->versions().fetched(target.version, target.manifestDigest);
+            mUpstream->versions().markFetched(target.version, target.manifestDigest);
             mWake.notify();
             mUpstream->noteChange();
         }};
--- a/src/loomjunctiond/weightservice.h
+++ b/src/loomjunctiond/weightservice.h
@@ -8,6 +8,7 @@
 
 #pragma once
 
+#include "adaptivetransferrate.h"
 #include "chunkserver.h"
 #include "chunkstore.h"
 #include "daemonsettings.h"
@@ -15,7 +16,6 @@
 #include "peerconnection.h"
 #include "tokenbucket.h"
 #include "weightfetch.h"
-#include "yieldingrate.h"
 
 #include <memory>
 #include <set>
@@ -84,7 +84,7 @@
     TokenBucket mIngress;
     TokenBucket mEgress;
     ChunkServer mServer;
-    YieldingRate mRate;
+    AdaptiveTransferRate mRate;
     FetchCounts mCounts;
     std::shared_ptr<WeightFetch> mFetch;
     std::set<std::string> mHanded; ///< manifests whose chunks the engine has been given
--- a/tests/direct/test_askplan.cpp
+++ b/tests/direct/test_askplan.cpp
@@ -10,7 +10,7 @@
 
 #include "askplan.h"
 #include "fakelog.h"
-#include "weightsgoal.h"
+#include "weightversiontracker.h"
 
 #include <algorithm>
 #include <deque>
@@ -142,7 +142,7 @@
     for (std::size_t index = 0; index < 6; ++index) {
         fleet.replicas[index].record.weightsVersion = 2;
     }
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000));
     ReplicaQuery asked = query();
     asked.weights = &goal;
--- a/tests/direct/test_replicaset.cpp
+++ b/tests/direct/test_replicaset.cpp
@@ -10,7 +10,7 @@
 
 #include "fakelog.h"
 #include "replicaset.h"
-#include "weightsgoal.h"
+#include "weightversiontracker.h"
 
 using namespace Loom;
 
@@ -459,7 +459,7 @@
 
 BOOST_AUTO_TEST_CASE(weights_that_are_over_soon_run_only_what_begins_at_once)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(-7'000)); // version 1 may begin requests until 1 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
@@ -492,7 +492,7 @@
 
 BOOST_AUTO_TEST_CASE(weights_with_some_time_left_run_what_begins_well_within_it)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
@@ -527,7 +527,7 @@
 // other was.
 BOOST_AUTO_TEST_CASE(weights_that_are_over_soon_run_only_where_the_way_was_short_just_now)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
@@ -558,7 +558,7 @@
 // still until they have answered.
 BOOST_AUTO_TEST_CASE(weights_that_came_to_their_end_while_agents_were_asked_run_nothing)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
@@ -580,7 +580,7 @@
 // and a request's reset cannot overtake it on a full link.
 BOOST_AUTO_TEST_CASE(weights_that_are_over_soon_run_nothing_in_another_data_centre)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(-4'000)); // version 1 may begin requests until 4 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "there", 1), at(0));
--- a/tests/direct/test_weightsgoal.cpp
+++ b/tests/direct/test_weightversiontracker.cpp
@@ -1,5 +1,5 @@
 /*
- * test_weightsgoal.cpp
+ * test_weightversiontracker.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -13,13 +13,13 @@
 
 #include "fakelog.h"
 #include "reloadturn.h"
-#include "weightsgoal.h"
+#include "weightversiontracker.h"
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(older_weights_begin_nothing_once_a_newer_version_is_due)
+BOOST_AUTO_TEST_CASE(older_versions_start_no_requests_after_the_grace_period)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     BOOST_TEST(goal.newest("m") == 1U);
     BOOST_TEST(goal.oldestAllowed("m", at(0)) == 1U);
     goal.name("m", 2, at(10'000));
@@ -32,44 +32,44 @@
     BOOST_TEST(goal.oldestAllowed("other", at(20'800)) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_version_is_over_when_the_first_newer_one_is_due)
+BOOST_AUTO_TEST_CASE(the_cutoff_is_set_by_the_first_newer_version)
 {
-    WeightsGoal goal(Milliseconds(8'000));
-    BOOST_TEST(!goal.overAt("m", 1).has_value());
+    WeightVersionTracker goal(Milliseconds(8'000));
+    BOOST_TEST(!goal.cutoffAt("m", 1).has_value());
     goal.name("m", 2, at(10'000));
     goal.name("m", 3, at(14'000));
-    BOOST_TEST((goal.overAt("m", 1) == at(18'000)));
-    BOOST_TEST((goal.overAt("m", 2) == at(22'000)));
-    BOOST_TEST(!goal.overAt("m", 3).has_value());
-    BOOST_TEST(!goal.overAt("other", 1).has_value());
+    BOOST_TEST((goal.cutoffAt("m", 1) == at(18'000)));
+    BOOST_TEST((goal.cutoffAt("m", 2) == at(22'000)));
+    BOOST_TEST(!goal.cutoffAt("m", 3).has_value());
+    BOOST_TEST(!goal.cutoffAt("other", 1).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(what_has_not_begun_is_given_up_between_the_last_sending_and_the_end)
+BOOST_AUTO_TEST_CASE(the_start_deadline_lies_between_the_last_send_and_the_cutoff)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(10'000));
-    BOOST_REQUIRE(goal.giveUpAt("m", 1).has_value());
-    const Instant giveUp = *goal.giveUpAt("m", 1);
+    BOOST_REQUIRE(goal.startDeadline("m", 1).has_value());
+    const Instant giveUp = *goal.startDeadline("m", 1);
     // What was sent last still has some time to begin.
     BOOST_TEST((goal.oldestAllowed("m", giveUp - Milliseconds(500)) == 2U));
     // It may have been named 400 ms before it was heard here.
     BOOST_TEST((giveUp + Milliseconds(500) <= at(18'000)));
     // The newest may get a newer one at any time, and is looked at before that is due.
-    BOOST_TEST(!goal.giveUpAt("m", 2).has_value());
-    const Instant look = goal.lookAgainAt(at(20'000));
+    BOOST_TEST(!goal.startDeadline("m", 2).has_value());
+    const Instant look = goal.nextCheckAt(at(20'000));
     goal.name("m", 3, at(20'000));
-    BOOST_TEST((look < *goal.giveUpAt("m", 2)));
+    BOOST_TEST((look < *goal.startDeadline("m", 2)));
 }
 
-BOOST_AUTO_TEST_CASE(a_version_heard_twice_keeps_its_first_time)
+BOOST_AUTO_TEST_CASE(a_version_learned_twice_keeps_its_first_time)
 {
-    WeightsGoal goal(Milliseconds(8'000));
+    WeightVersionTracker goal(Milliseconds(8'000));
     goal.name("m", 2, at(1'000));
     goal.name("m", 2, at(9'000));
     BOOST_TEST((goal.learnedAt("m", 2) == at(1'000)));
 }
 
-BOOST_AUTO_TEST_CASE(turns_are_spread_and_end_before_the_bound)
+BOOST_AUTO_TEST_CASE(reload_turns_are_spread_and_end_before_the_cutoff)
 {
     std::vector<std::string> boxes;
     for (int box = 0; box < 20; ++box) {
@@ -89,7 +89,7 @@
     BOOST_TEST((turn.at("m@2", "alone", {}, at(0), at(0)) <= at(6'400)));
 }
 
-BOOST_AUTO_TEST_CASE(turns_that_were_over_before_the_weights_came_are_not_taken_all_at_once)
+BOOST_AUTO_TEST_CASE(reload_turns_missed_during_the_fetch_are_spread_again)
 {
     std::vector<std::string> boxes;
     for (int box = 0; box < 20; ++box) {
--- a/tests/faults/test_rollout_faults.cpp
+++ b/tests/faults/test_rollout_faults.cpp
@@ -169,7 +169,7 @@
         if (strikes(Fault::Kill, Load)) { // the engine dies
             agent.engine.loaded.clear();
             agent.hasServed = false;
-            agent.versions.engineLost();
+            agent.versions.clearEngineReport();
         }
         const bool answerLost = strikes(Fault::LostAnswer, Load);
         agent.versions.orderEnded(version, !answerLost, now);
@@ -200,7 +200,7 @@
             if (strikes(Fault::VersionChange, Verify)) {
                 mSuperseded = true;
             }
-            agent.versions.fetched(agent.fetching, "digest-" + agent.fetching);
+            agent.versions.markFetched(agent.fetching, "digest-" + agent.fetching);
         }
     }
 
@@ -214,7 +214,7 @@
             }
             for (std::uint32_t chunk = 0; chunk < sChunks; ++chunk) {
                 if (peer.plan->has(chunk)) {
-                    agent.plan->peerHas(mMembers[other].box, chunk, now);
+                    agent.plan->addPeerChunk(mMembers[other].box, chunk, now);
                 }
             }
         }
@@ -243,7 +243,7 @@
             return;
         }
         if (strikes(Fault::Cut, Report)) {
-            agent.versions.engineLost();
+            agent.versions.clearEngineReport();
             agent.hasServed = false;
             return;
         }
@@ -251,7 +251,7 @@
         for (const auto &[version, chunks] : agent.engine.loaded) {
             loaded.push_back({version, "digest-" + version});
         }
-        agent.versions.engineReports(loaded, now);
+        agent.versions.setEngineReport(loaded, now);
     }
 
     static std::optional<std::string> judge(Agent &agent)
--- a/tests/gateway/stagelab.h
+++ b/tests/gateway/stagingfixture.h
@@ -1,5 +1,5 @@
 /*
- * stagelab.h
+ * stagingfixture.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -11,7 +11,7 @@
 #include "directlab.h"
 #include "loadreporter.h"
 #include "manifest.h"
-#include "stageservice.h"
+#include "weightstagingservice.h"
 
 #include <map>
 #include <set>
@@ -26,12 +26,12 @@
 
     std::uint64_t loaded = 1;
     std::uint64_t born = 1'000;
-    std::set<std::uint64_t> deadVersions; ///< of which the origin gives no chunk
-    std::set<std::uint64_t> pulled; ///< versions of which a chunk was asked for
+    std::set<std::uint64_t> unavailableVersions; ///< of which the origin gives no chunk
+    std::set<std::uint64_t> requestedVersions; ///< versions of which a chunk was asked for
     std::function<void(std::uint32_t index)> onStageGet;
-    std::uint32_t pieces = 0; ///< that the origin gave
-    int orders = 0;
-    int ordersOnHalfAStage = 0;
+    std::uint32_t servedChunks = 0; ///< that the origin gave
+    int loadOrders = 0;
+    int ordersOnIncompleteStage = 0;
     std::map<std::uint32_t, std::string> stage;
 
     static Manifest manifestOf(std::uint64_t version)
@@ -52,8 +52,8 @@
 
     awaitable<OrderAnswer> load(std::string, std::uint64_t version, std::uint64_t) override
     {
-        ++orders;
-        ordersOnHalfAStage += stage.size() < sChunks ? 1 : 0;
+        ++loadOrders;
+        ordersOnIncompleteStage += stage.size() < sChunks ? 1 : 0;
         loaded = version;
         co_return OrderAnswer::Begun;
     }
@@ -83,11 +83,11 @@
     awaitable<std::optional<std::string>> piece(Tcp::endpoint, std::string, std::uint64_t version,
                                                 std::uint32_t index) override
     {
-        pulled.insert(version);
-        if (deadVersions.contains(version)) {
+        requestedVersions.insert(version);
+        if (unavailableVersions.contains(version)) {
             co_return std::nullopt;
         }
-        ++pieces;
+        ++servedChunks;
         co_return weightsOf(version).substr(std::size_t{index} * sChunkBytes, sChunkBytes);
     }
 
@@ -105,10 +105,10 @@
 };
 
 /** One agent over a store in memory. */
-class StageLab
+class StagingFixture
 {
 public:
-    StageLab(asio::io_context &context, StorePort &store, std::string box)
+    StagingFixture(asio::io_context &context, StorePort &store, std::string box)
         : mSettings(settings(context, std::move(box)))
         , mKernel(context.get_executor())
     {
@@ -117,7 +117,7 @@
         mKernel.add(std::make_unique<MemberService>(store, mSettings, 1));
         mKernel.add(std::make_unique<DirectConfig>(mRecords, mSettings.bounds));
         mKernel.add(std::make_unique<LoadReporter>("127.0.0.1:1"));
-        mKernel.add(std::make_unique<StageService>(engine, mMetrics, mSettings));
+        mKernel.add(std::make_unique<WeightStagingService>(engine, mMetrics, mSettings));
     }
 
     FakeEngine engine;
--- a/tests/gateway/test_gateway.cpp
+++ b/tests/gateway/test_gateway.cpp
@@ -519,7 +519,7 @@
     DirectLab lab;
     lab.writeConfig(1);
     const auto isOver = [&] {
-        const auto over = lab.config().weights().overAt("m", 1);
+        const auto over = lab.config().weights().cutoffAt("m", 1);
         return over && now() > *over;
     };
     const ScriptedReplica &older = lab.addReplica("i-1", "engine", [&](const std::string &head) {
--- a/tests/gateway/test_stage.cpp
+++ b/tests/gateway/test_stage.cpp
@@ -8,34 +8,34 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "stagelab.h"
+#include "stagingfixture.h"
 
 using namespace Loom;
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
+constexpr std::chrono::seconds sTestTimeout{20};
 
 const std::string sConfig = R"({"version":1,"routes":[],"services":[
     {"name":"weights","origin":"127.0.0.1:9","link_mbps":9.0},
     {"name":"engine","engine":{"slots":4,"step_ms":5,"read_per_s":100000,"stride":1,"layers":1,
      "usual":{"prompt":10,"answer":10},"models":[{"name":"m"}]}}]})";
 
-std::string named(int version)
+std::string versionRecord(int version)
 {
     return R"({"model":"m","version":)" + std::to_string(version) + "}";
 }
 
 awaitable<void> waitFor(std::function<bool()> condition)
 {
-    const auto until = std::chrono::steady_clock::now() + sGenerous;
+    const auto until = std::chrono::steady_clock::now() + sTestTimeout;
     while (!condition()) {
         BOOST_REQUIRE(std::chrono::steady_clock::now() < until);
         co_await sleepFor(std::chrono::milliseconds(5));
     }
 }
 
-void play(asio::io_context &context, std::function<awaitable<void>()> test)
+void runTest(asio::io_context &context, std::function<awaitable<void>()> test)
 {
     std::exception_ptr thrown;
     asio::co_spawn(context, std::move(test), [&](std::exception_ptr error) {
@@ -55,52 +55,52 @@
 // others until the origin returned:
 //   fetch-begun   version=3 (an agent that began at 20.0 s; none of version 2)
 //   fetch-stalled version=2 have=45 unheld=3 owner=(a box that had begun again)
-BOOST_AUTO_TEST_CASE(an_agent_that_begins_helps_with_the_version_that_others_still_fetch)
+BOOST_AUTO_TEST_CASE(a_starting_agent_joins_the_fetch_of_an_older_version)
 {
     asio::io_context context{1};
     MemoryStore store(context.get_executor());
     store.write(Feed::Operators, "config", sConfig);
-    store.write(Feed::Operators, "version/m", named(1));
-    StageLab first(context, store, "box-1");
-    first.engine.deadVersions = {2, 3};
-    StageLab second(context, store, "box-2");
-    second.engine.deadVersions = {3};
+    store.write(Feed::Operators, "version/m", versionRecord(1));
+    StagingFixture first(context, store, "box-1");
+    first.engine.unavailableVersions = {2, 3};
+    StagingFixture second(context, store, "box-2");
+    second.engine.unavailableVersions = {3};
     first.start();
-    play(context, [&]() -> awaitable<void> {
+    runTest(context, [&]() -> awaitable<void> {
         // What runs lies in the store, too, and is of no use to an agent that begins.
-        co_await waitFor([&] { return first.engine.pieces >= FakeEngine::sChunks; });
-        store.write(Feed::Operators, "version/m", named(2));
-        co_await waitFor([&] { return first.engine.pulled.contains(2); });
-        store.write(Feed::Operators, "version/m", named(3));
-        co_await waitFor([&] { return first.engine.pulled.contains(3); });
+        co_await waitFor([&] { return first.engine.servedChunks >= FakeEngine::sChunks; });
+        store.write(Feed::Operators, "version/m", versionRecord(2));
+        co_await waitFor([&] { return first.engine.requestedVersions.contains(2); });
+        store.write(Feed::Operators, "version/m", versionRecord(3));
+        co_await waitFor([&] { return first.engine.requestedVersions.contains(3); });
         second.start();
-        co_await waitFor([&] { return second.engine.pulled.contains(2); });
+        co_await waitFor([&] { return second.engine.requestedVersions.contains(2); });
         co_await waitFor([&] { return first.engine.loaded == 2; });
-        BOOST_TEST(second.engine.ordersOnHalfAStage == 0);
+        BOOST_TEST(second.engine.ordersOnIncompleteStage == 0);
     });
 }
 
 // An engine loses power right after its stage was found right. Its next life has taken
 // no order either, so the number of orders does not tell them apart.
-BOOST_AUTO_TEST_CASE(an_engine_that_started_again_is_ordered_nothing_on_what_its_stage_was)
+BOOST_AUTO_TEST_CASE(no_load_is_ordered_on_the_lost_stage_of_a_restarted_engine)
 {
     asio::io_context context{1};
     MemoryStore store(context.get_executor());
     store.write(Feed::Operators, "config", sConfig);
-    store.write(Feed::Operators, "version/m", named(2));
-    StageLab lab(context, store, "box-1");
-    int looks = 0;
+    store.write(Feed::Operators, "version/m", versionRecord(2));
+    StagingFixture lab(context, store, "box-1");
+    int completeReads = 0;
     lab.engine.onStageGet = [&](std::uint32_t index) {
         const bool isWhole = lab.engine.stage.size() == FakeEngine::sChunks;
-        if (isWhole && index + 1 == FakeEngine::sChunks && ++looks == 1) {
+        if (isWhole && index + 1 == FakeEngine::sChunks && ++completeReads == 1) {
             lab.engine.stage.clear();
             lab.engine.born += 1;
         }
     };
     lab.start();
-    play(context, [&]() -> awaitable<void> {
+    runTest(context, [&]() -> awaitable<void> {
         co_await waitFor([&] { return lab.engine.loaded == 2; });
-        BOOST_TEST(lab.engine.ordersOnHalfAStage == 0);
-        BOOST_TEST(lab.engine.orders == 1);
+        BOOST_TEST(lab.engine.ordersOnIncompleteStage == 0);
+        BOOST_TEST(lab.engine.loadOrders == 1);
     });
 }
--- a/tests/lostowners/test_lostowners.cpp
+++ b/tests/lostowners/test_lostowners.cpp
@@ -10,39 +10,40 @@
 #include <boost/test/unit_test.hpp>
 
 #include "fakelog.h"
-#include "swarmlab.h"
+#include "swarmsimulator.h"
 
 using namespace Loom;
 
 // Some boxes are killed while the last chunks leave the origin, which dies soon after.
 // Two chunks had left with their owners, and everybody waited for the origin's return:
 //   fetch-stalled version=2 have=46 unheld=2 owner=(a box that had been killed)
-BOOST_AUTO_TEST_CASE(chunks_whose_owners_were_killed_leave_an_origin_that_dies_soon)
+BOOST_AUTO_TEST_CASE(chunks_of_killed_owners_are_taken_over_before_the_origin_fails)
 {
-    for (const int killed : {1'450, 1'600, 1'700}) {
-        SwarmLab::Shape shape;
+    for (const int killedAtMs : {1'450, 1'600, 1'700}) {
+        SwarmSimulator::Scenario scenario;
         for (int i = 0; i < 76; ++i) {
-            shape.members.push_back({"box-" + std::to_string(i), "dc-" + std::to_string(i % 3)});
+            scenario.members.push_back({"box-" + std::to_string(i), "dc-" + std::to_string(i % 3)});
         }
-        shape.originRate = 1'125; // 9 Mbit/s
-        shape.originDiesMs = 2'500;
-        shape.mostBeginMs = 100;
-        shape.deadFromMs = killed;
+        scenario.originRate = 1'125; // 9 Mbit/s
+        scenario.originFailsMs = 2'500;
+        scenario.maxStartDelayMs = 100;
+        scenario.killedAtMs = killedAtMs;
         for (int i = 0; i < 6; ++i) {
-            shape.dead.insert("box-" + std::to_string(i * 12 + 3));
+            scenario.killed.insert("box-" + std::to_string(i * 12 + 3));
         }
         ChunkPlan::Options options;
-        options.neighbours = 12;
-        options.nearOnly = true;
-        options.takeover = Milliseconds(2'000);
-        options.originParallel = 1;
-        options.peerParallel = 3;
-        options.originSpacing = Microseconds(37'000);
-        options.originFrom = at(150);
-        const SwarmLab::Result result = SwarmLab(shape, options).play(20'000);
-        BOOST_TEST_MESSAGE("last " << result.lastMs << " ms, origin " << result.originChunks);
-        BOOST_TEST(result.lastMs > 0);
-        BOOST_TEST(result.lastMs < 5'000);
-        BOOST_TEST(result.originChunks <= shape.chunkCount * 13 / 10);
+        options.neighbourCount = 12;
+        options.hasSingleImport = true;
+        options.maxTakeoverDelay = Milliseconds(2'000);
+        options.maxOriginRequests = 1;
+        options.maxPeerRequests = 3;
+        options.originPullInterval = Microseconds(37'000);
+        options.originPullStart = at(150);
+        const SwarmSimulator::Result result = SwarmSimulator(scenario, options).run(20'000);
+        BOOST_TEST_MESSAGE("last " << result.allCompleteMs << " ms, origin "
+                                   << result.originChunks);
+        BOOST_TEST(result.allCompleteMs > 0);
+        BOOST_TEST(result.allCompleteMs < 5'000);
+        BOOST_TEST(result.originChunks <= scenario.chunkCount * 13 / 10);
     }
 }
--- a/tests/weights/test_yieldingrate.cpp
+++ b/tests/weights/test_adaptivetransferrate.cpp
@@ -1,5 +1,5 @@
 /*
- * test_yieldingrate.cpp
+ * test_adaptivetransferrate.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,29 +8,29 @@
 
 #include <boost/test/unit_test.hpp>
 
+#include "adaptivetransferrate.h"
 #include "fakelog.h"
-#include "yieldingrate.h"
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(transfers_give_way_to_live_requests_and_grow_back)
+BOOST_AUTO_TEST_CASE(the_rate_falls_with_rising_latency_and_recovers)
 {
-    YieldingRate rate(1'000'000);
+    AdaptiveTransferRate rate(1'000'000);
     for (int i = 0; i < 100; ++i) {
-        rate.noteLatency(Milliseconds(10), false);
+        rate.addLatency(Milliseconds(10), false);
     }
     BOOST_TEST(rate.rate(at(1'000)) == 1'000'000);
     for (int i = 0; i < 100; ++i) {
-        rate.noteLatency(Milliseconds(40), true);
+        rate.addLatency(Milliseconds(40), true);
     }
     for (int step = 0; step < 20; ++step) {
         rate.rate(at(2'000 + step * 200));
     }
     // It keeps a floor, or a rollout under load would never end.
-    BOOST_TEST(rate.rate(at(7'000)) == 1'000'000 * YieldingRate::sLeastShare,
+    BOOST_TEST(rate.rate(at(7'000)) == 1'000'000 * AdaptiveTransferRate::sMinRateFraction,
                boost::test_tools::tolerance(1e-9));
     for (int i = 0; i < 100; ++i) {
-        rate.noteLatency(Milliseconds(10), true);
+        rate.addLatency(Milliseconds(10), true);
     }
     for (int step = 0; step < 40; ++step) {
         rate.rate(at(8'000 + step * 200));
@@ -38,9 +38,9 @@
     BOOST_TEST(rate.rate(at(20'000)) == 1'000'000);
 }
 
-BOOST_AUTO_TEST_CASE(without_live_requests_nothing_is_held_back)
+BOOST_AUTO_TEST_CASE(the_full_rate_applies_without_live_requests)
 {
-    YieldingRate rate(5'000);
+    AdaptiveTransferRate rate(5'000);
     for (int step = 0; step < 20; ++step) {
         BOOST_TEST(rate.rate(at(step * 200)) == 5'000);
     }
--- a/tests/weights/test_chunkplan.cpp
+++ b/tests/weights/test_chunkplan.cpp
@@ -33,12 +33,12 @@
 }
 
 /** Chunks that box @p name pulls from the origin when nobody else exists for it. */
-std::set<std::uint32_t> ownOriginChunks(const SwarmMember &self,
-                                        const std::vector<SwarmMember> &members,
-                                        std::uint32_t copies)
+std::set<std::uint32_t> originChunksOf(const SwarmMember &self,
+                                       const std::vector<SwarmMember> &members,
+                                       std::uint32_t copies)
 {
     ChunkPlan::Options options;
-    options.originParallel = sChunks;
+    options.maxOriginRequests = sChunks;
     options.originCopies = copies;
     ChunkPlan plan("digest", sChunks, self, options, at(0));
     plan.setMembers(members);
@@ -52,13 +52,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(each_chunk_is_pulled_by_exactly_the_copies_asked_for)
+BOOST_AUTO_TEST_CASE(each_chunk_is_pulled_by_the_configured_number_of_members)
 {
     for (const std::uint32_t copies : {1U, 2U, 4U}) {
         const auto members = swarm(12);
         std::map<std::uint32_t, std::uint32_t> pulls;
         for (const SwarmMember &member : members) {
-            for (const std::uint32_t index : ownOriginChunks(member, members, copies)) {
+            for (const std::uint32_t index : originChunksOf(member, members, copies)) {
                 ++pulls[index];
             }
         }
@@ -69,32 +69,32 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(when_a_member_dies_its_chunks_go_to_the_next_in_order)
+BOOST_AUTO_TEST_CASE(chunks_of_a_removed_member_are_reassigned)
 {
     auto members = swarm(5);
     std::set<std::uint32_t> covered;
     for (std::size_t i = 1; i < members.size(); ++i) {
         const std::vector<SwarmMember> living(members.begin() + 1, members.end());
-        covered.merge(ownOriginChunks(members[i], living, 1));
+        covered.merge(originChunksOf(members[i], living, 1));
     }
     BOOST_TEST(covered.size() == sChunks);
 }
 
-BOOST_AUTO_TEST_CASE(a_stalled_member_is_stepped_in_for)
+BOOST_AUTO_TEST_CASE(chunks_of_a_stalled_owner_are_taken_over)
 {
     const auto members = swarm(3);
     ChunkPlan::Options options;
-    options.originParallel = sChunks;
+    options.maxOriginRequests = sChunks;
     ChunkPlan plan("digest", sChunks, members[0], options, at(0));
     plan.setMembers(members);
     const std::size_t own = plan.next(at(0)).size();
     BOOST_TEST(own < sChunks);
     BOOST_TEST(plan.next(at(1)).empty());
-    const Instant later = at(0) + options.takeover * 2;
+    const Instant later = at(0) + options.maxTakeoverDelay * 2;
     BOOST_TEST(own + plan.next(later).size() == sChunks);
 }
 
-BOOST_AUTO_TEST_CASE(chunks_of_dead_members_are_taken_over_all_at_once)
+BOOST_AUTO_TEST_CASE(chunks_of_dead_owners_are_taken_over_independently)
 {
     // Six of twenty members are dead. Chunks take their time, and each that turns
     // up must not put off those that are late already.
@@ -104,7 +104,7 @@
     constexpr int chunkMs = 100;
     constexpr int takenOverMs = 2'000; // 8 s where each one puts off the rest
     ChunkPlan::Options options;
-    options.takeover = Milliseconds(2'000);
+    options.maxTakeoverDelay = Milliseconds(2'000);
     std::vector<ChunkPlan> plans;
     for (const SwarmMember &member : members) {
         plans.emplace_back("digest", sChunks, member, options, at(0));
@@ -120,7 +120,7 @@
     const auto deliver = [&](const Transfer &transfer, int time) {
         plans[transfer.to].received(transfer.fetch.index, transfer.fetch.source, at(time));
         for (std::size_t other = dead; other < plans.size(); ++other) {
-            plans[other].peerHas(members[transfer.to].box, transfer.fetch.index, at(time));
+            plans[other].addPeerChunk(members[transfer.to].box, transfer.fetch.index, at(time));
         }
     };
     const auto isAnywhere = [&](std::uint32_t index) {
@@ -159,40 +159,40 @@
     members[0].dataCentre = members[1].dataCentre = "here";
     members[2].dataCentre = members[3].dataCentre = "there";
     ChunkPlan::Options options;
-    options.originParallel = 0;
-    options.peerParallel = 2 * sChunks;
-    options.perPeerParallel = 2 * sChunks;
-    options.nearOnly = true;
+    options.maxOriginRequests = 0;
+    options.maxPeerRequests = 2 * sChunks;
+    options.maxRequestsPerPeer = 2 * sChunks;
+    options.hasSingleImport = true;
     std::set<std::uint32_t> imported;
     for (const std::size_t self : {0U, 1U}) {
         ChunkPlan plan("digest", sChunks, members[self], options, at(0));
         plan.setMembers(members);
         for (std::uint32_t index = 0; index < sChunks; ++index) {
-            plan.peerHas(members[2].box, index, at(0));
+            plan.addPeerChunk(members[2].box, index, at(0));
         }
         for (const ChunkFetch &fetch : plan.next(at(10))) {
             BOOST_TEST(imported.insert(fetch.index).second);
         }
         // The other one may be dead: what it does not bring is fetched later.
-        BOOST_TEST(plan.next(at(0) + options.takeover * 2).size() > 0U);
+        BOOST_TEST(plan.next(at(0) + options.maxTakeoverDelay * 2).size() > 0U);
     }
     BOOST_TEST(imported.size() == sChunks);
 }
 
-BOOST_AUTO_TEST_CASE(neighbours_are_asked_rarest_first_and_within_limits)
+BOOST_AUTO_TEST_CASE(rarest_chunks_are_requested_first_within_limits)
 {
     const auto members = swarm(4);
     ChunkPlan::Options options;
-    options.originParallel = 0;
-    options.peerParallel = 3;
-    options.perPeerParallel = 2;
+    options.maxOriginRequests = 0;
+    options.maxPeerRequests = 3;
+    options.maxRequestsPerPeer = 2;
     ChunkPlan plan("digest", sChunks, members[0], options, at(0));
     plan.setMembers(members);
     for (std::uint32_t index = 0; index < sChunks; ++index) {
-        plan.peerHas("box-1", index, at(0));
-        plan.peerHas("box-2", index, at(0));
+        plan.addPeerChunk("box-1", index, at(0));
+        plan.addPeerChunk("box-2", index, at(0));
     }
-    plan.peerHas("box-3", 7, at(0)); // no rarer than the others now, but held by three
+    plan.addPeerChunk("box-3", 7, at(0)); // no rarer than the others now, but held by three
     const auto asked = plan.next(at(0));
     BOOST_TEST(asked.size() == 3u);
     BOOST_TEST(std::ranges::none_of(asked, [](const ChunkFetch &f) { return f.index == 7; }));
@@ -206,15 +206,15 @@
     BOOST_TEST(plan.next(at(1)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_sender_of_a_bad_chunk_is_avoided)
+BOOST_AUTO_TEST_CASE(a_peer_that_sent_a_corrupt_chunk_is_avoided)
 {
     const auto members = swarm(2);
     ChunkPlan::Options options;
-    options.originParallel = 0;
+    options.maxOriginRequests = 0;
     ChunkPlan plan("digest", 4, members[0], options, at(0));
     plan.setMembers(members);
-    plan.peerHas("box-1", 0, at(0));
-    plan.peerHas("box-1", 1, at(0));
+    plan.addPeerChunk("box-1", 0, at(0));
+    plan.addPeerChunk("box-1", 1, at(0));
     for (const ChunkFetch &fetch : plan.next(at(0))) {
         plan.failed(fetch.index, fetch.source, ChunkFailure::Corrupt, at(1));
     }
@@ -222,7 +222,7 @@
     BOOST_TEST(plan.next(at(1'000)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_swarm_is_one_whole_whatever_its_size)
+BOOST_AUTO_TEST_CASE(the_neighbour_graph_is_connected_for_any_swarm_size)
 {
     for (const int count : {2, 3, 12, 97}) {
         const auto members = swarm(count);
@@ -231,7 +231,7 @@
             ChunkPlan plan("digest", 4, member, {}, at(0));
             plan.setMembers(members);
             edges[member.box] = plan.neighbours();
-            BOOST_TEST(edges[member.box].size() <= ChunkPlan::Options().neighbours + 1);
+            BOOST_TEST(edges[member.box].size() <= ChunkPlan::Options().neighbourCount + 1);
         }
         std::set<std::string> reached{members[0].box};
         std::vector<std::string> open{members[0].box};
@@ -248,7 +248,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_manifest_names_every_byte)
+BOOST_AUTO_TEST_CASE(a_manifest_covers_every_byte)
 {
     std::string weights(10'000, '\0');
     for (std::size_t i = 0; i < weights.size(); ++i) {
@@ -267,12 +267,12 @@
     BOOST_TEST(!Manifest::parse("no").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_chunk_that_only_a_slow_member_holds_is_pulled_once_more)
+BOOST_AUTO_TEST_CASE(a_chunk_held_only_by_a_slow_peer_is_pulled_from_the_origin)
 {
     // All but one chunk are here. Its holder has been asked, and does not bring it.
     const auto members = swarm(4);
     ChunkPlan::Options options;
-    options.originParallel = 1;
+    options.maxOriginRequests = 1;
     std::uint32_t pulls = 0;
     for (std::size_t self = 1; self < members.size(); ++self) {
         ChunkPlan plan("digest", sChunks, members[self], options, at(0));
@@ -280,7 +280,7 @@
         for (std::uint32_t index = 1; index < sChunks; ++index) {
             plan.received(index, FromPeer{members[0].box}, at(1'000));
         }
-        plan.peerHas(members[0].box, 0, at(1'000));
+        plan.addPeerChunk(members[0].box, 0, at(1'000));
         for (const ChunkFetch &fetch : plan.next(at(1'000))) {
             BOOST_TEST(fetch.index == 0U); // asked of its holder, or owned
         }
@@ -298,13 +298,13 @@
     BOOST_TEST(pulls <= 3U);
 }
 
-BOOST_AUTO_TEST_CASE(an_owner_that_brings_nothing_is_stepped_in_for_soon)
+BOOST_AUTO_TEST_CASE(chunks_of_an_owner_without_origin_access_are_taken_over_early)
 {
     // The first member cannot reach the origin; the others brought their shares.
     const auto members = swarm(5);
     constexpr std::size_t cutOff = 0;
     ChunkPlan::Options options;
-    options.originParallel = sChunks;
+    options.maxOriginRequests = sChunks;
     std::vector<ChunkPlan> plans;
     std::vector<std::vector<std::uint32_t>> owned(members.size());
     for (std::size_t self = 0; self < members.size(); ++self) {
@@ -321,8 +321,8 @@
                 if (other == self) {
                     plans[self].received(index, FromOrigin{}, at(1'000));
                 } else {
-                    plans[self].peerHas(members[other].box, index, at(1'000));
-                    plans[self].adopt(index);
+                    plans[self].addPeerChunk(members[other].box, index, at(1'000));
+                    plans[self].addStored(index);
                 }
             }
         }
@@ -335,11 +335,11 @@
     BOOST_TEST(pulled.size() == owned[cutOff].size());
 }
 
-BOOST_AUTO_TEST_CASE(a_failed_pull_is_tried_again_soon_and_then_less_often)
+BOOST_AUTO_TEST_CASE(failed_origin_pulls_are_retried_with_exponential_backoff)
 {
     const auto members = swarm(1);
     ChunkPlan::Options options;
-    options.originParallel = sChunks;
+    options.maxOriginRequests = sChunks;
     ChunkPlan plan("digest", sChunks, members[0], options, at(0));
     plan.setMembers(members);
     BOOST_TEST(plan.next(at(0)).size() == sChunks);
@@ -362,13 +362,13 @@
 // pass on until the origin had sent nearly everything:
 //   weights-named   version=3 (all boxes, 26.0 to 26.5 s; named at 20.0 s)
 //   weights-fetched version=3 (first at 31.0 s; a copy takes 2.1 s out of the origin)
-BOOST_AUTO_TEST_CASE(a_version_that_is_heard_of_late_is_pulled_in_turns_from_then)
+BOOST_AUTO_TEST_CASE(origin_pulls_of_a_version_learned_late_are_staggered)
 {
     constexpr std::uint32_t chunks = 48;
     ChunkPlan::Options options;
-    options.originParallel = chunks;
-    options.originSpacing = Milliseconds(37);
-    options.originFrom = at(1'000);
+    options.maxOriginRequests = chunks;
+    options.originPullInterval = Milliseconds(37);
+    options.originPullStart = at(1'000);
     ChunkPlan late("digest", chunks, {"box", "dc"}, options, at(10'000));
     BOOST_TEST(late.next(at(10'000)).size() == 1U);
     BOOST_TEST(late.next(at(10'000 + 37 * 10)).size() == 10U);
--- a/tests/weights/test_evenowners.cpp
+++ b/tests/weights/test_evenowners.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(every_node_owns_as_many_keys_as_the_others)
+BOOST_AUTO_TEST_CASE(keys_are_distributed_evenly)
 {
     const auto keys = names("digest#", 64);
     for (const std::size_t count : {1U, 5U, 20U, 64U, 76U}) {
@@ -43,7 +43,7 @@
     BOOST_TEST(evenOwners(keys, {}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_node_that_leaves_moves_few_keys_beyond_its_own)
+BOOST_AUTO_TEST_CASE(removing_a_node_reassigns_few_other_keys)
 {
     const auto keys = names("digest#", 64);
     const auto nodes = names("box-", 20);
--- a/tests/weights/test_versionswitch.cpp
+++ b/tests/weights/test_versionswitch.cpp
@@ -33,64 +33,64 @@
     VersionSwitch made;
     made.setTargets(sOne, std::nullopt);
     made.next(at(0), true);
-    made.fetched("v1", "d1");
+    made.markFetched("v1", "d1");
     made.next(at(1), true);
     const std::array loaded{LoadedVersion{"v1", "d1"}};
-    made.engineReports(loaded, at(2));
+    made.setEngineReport(loaded, at(2));
     made.orderEnded("v1", true, at(2));
     return made;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(nothing_is_loaded_before_it_is_verified_whole)
+BOOST_AUTO_TEST_CASE(a_version_is_loaded_only_after_complete_verification)
 {
     VersionSwitch one;
     one.setTargets(sOne, std::nullopt);
     const auto first = one.next(at(0), true);
     BOOST_TEST(hasAction<StartFetch>(first));
     BOOST_TEST(!hasAction<OrderLoad>(first));
-    one.fetched("v1", "another digest");
+    one.markFetched("v1", "another digest");
     BOOST_TEST(!hasAction<OrderLoad>(one.next(at(1), true)));
-    one.fetched("v1", "d1");
+    one.markFetched("v1", "d1");
     BOOST_TEST(hasAction<OrderLoad>(one.next(at(2), true)));
 }
 
-BOOST_AUTO_TEST_CASE(weights_of_another_manifest_are_not_loaded_by_that_name)
+BOOST_AUTO_TEST_CASE(a_version_is_not_loaded_from_another_manifest)
 {
     VersionSwitch one;
     one.setTargets(sOne, std::nullopt);
     one.next(at(0), true);
-    one.fetched("v1", "d1");
+    one.markFetched("v1", "d1");
     one.setTargets(VersionTarget{"v1", "d1-anew"}, std::nullopt);
     const auto actions = one.next(at(1), true);
     BOOST_TEST(!hasAction<OrderLoad>(actions));
     BOOST_TEST(hasAction<StartFetch>(actions));
 }
 
-BOOST_AUTO_TEST_CASE(only_what_the_engine_reports_exactly_is_announced)
+BOOST_AUTO_TEST_CASE(a_version_is_announced_only_with_the_digest_that_the_engine_reports)
 {
     VersionSwitch one = servingOne();
     BOOST_TEST(one.serves("v1"));
     // The same name with other weights is another version.
     const std::array mixed{LoadedVersion{"v1", "other"}};
-    one.engineReports(mixed, at(3));
+    one.setEngineReport(mixed, at(3));
     BOOST_TEST(!one.serves("v1"));
     BOOST_TEST(one.announced().empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_accepted_order_alone_announces_nothing)
+BOOST_AUTO_TEST_CASE(an_accepted_load_order_alone_announces_nothing)
 {
     VersionSwitch one;
     one.setTargets(sOne, std::nullopt);
     one.next(at(0), true);
-    one.fetched("v1", "d1");
+    one.markFetched("v1", "d1");
     one.next(at(1), true);
     one.orderEnded("v1", true, at(2));
     BOOST_TEST(one.announced().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_superseded_fetch_stops_at_once_and_its_chunks_count_for_nothing)
+BOOST_AUTO_TEST_CASE(a_superseded_fetch_is_stopped_and_its_completion_ignored)
 {
     VersionSwitch one = servingOne();
     one.setTargets(sOne, sTwo);
@@ -99,7 +99,7 @@
     const auto actions = one.next(at(4), true);
     BOOST_TEST(hasAction<StopFetch>(actions));
     BOOST_TEST(hasAction<StartFetch>(actions));
-    one.fetched("v2", "d2"); // its last chunk came late
+    one.markFetched("v2", "d2"); // its last chunk came late
     BOOST_TEST(!hasAction<OrderLoad>(one.next(at(5), true)));
 }
 
@@ -109,41 +109,41 @@
     one.setTargets(sTwo, std::nullopt);
     one.next(at(3), true);
     BOOST_TEST(one.serves("v1"));
-    one.fetched("v2", "d2");
+    one.markFetched("v2", "d2");
     BOOST_TEST(!hasAction<OrderUnload>(one.next(at(4), true)));
     const std::array both{LoadedVersion{"v1", "d1"}, LoadedVersion{"v2", "d2"}};
-    one.engineReports(both, at(5));
+    one.setEngineReport(both, at(5));
     one.orderEnded("v2", true, at(5));
     BOOST_TEST(one.serves("v2"));
     BOOST_TEST(hasAction<OrderUnload>(one.next(at(6), true)));
     BOOST_TEST(!one.serves("v1"));
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_restarts_announces_nothing_and_loads_again)
+BOOST_AUTO_TEST_CASE(an_engine_restart_clears_announcements_and_triggers_a_reload)
 {
     VersionSwitch one = servingOne();
-    one.engineLost();
+    one.clearEngineReport();
     BOOST_TEST(one.announced().empty());
     BOOST_TEST(hasAction<OrderLoad>(one.next(at(9), true)));
 }
 
-BOOST_AUTO_TEST_CASE(loading_waits_for_its_turn)
+BOOST_AUTO_TEST_CASE(a_load_order_waits_for_permission)
 {
     VersionSwitch one = servingOne();
     one.setTargets(sOne, sTwo);
     one.next(at(3), false);
-    one.fetched("v2", "d2");
+    one.markFetched("v2", "d2");
     BOOST_TEST(!hasAction<OrderLoad>(one.next(at(4), false)));
     BOOST_TEST(one.waitingToLoad().value_or("") == "v2");
     BOOST_TEST(hasAction<OrderLoad>(one.next(at(5), true)));
 }
 
-BOOST_AUTO_TEST_CASE(a_failed_order_is_given_again_after_a_pause)
+BOOST_AUTO_TEST_CASE(a_failed_load_order_is_retried_after_a_delay)
 {
     VersionSwitch one = servingOne();
     one.setTargets(sOne, sTwo);
     one.next(at(3), true);
-    one.fetched("v2", "d2");
+    one.markFetched("v2", "d2");
     BOOST_TEST(hasAction<OrderLoad>(one.next(at(4), true)));
     BOOST_TEST(!hasAction<OrderLoad>(one.next(at(5), true)));
     one.orderEnded("v2", false, at(6));
