--- a/src/libloomjunction/core/adaptivetransferrate.cpp
+++ b/src/libloomjunction/core/adaptivetransferrate.cpp
@@ -17,7 +17,8 @@
 constexpr Milliseconds sAdjustInterval{200};
 constexpr double sIdleLatencyWeight = 0.02;
 constexpr double sRecentLatencyWeight = 0.2;
-// Above the quiet latency by this factor and this much, live requests suffer.
+// The rate is reduced when the latency exceeds the idle latency by this factor and,
+// on top of it, by this time.
 constexpr double sMaxLatencyFactor = 1.25;
 constexpr double sMaxAddedLatencyMicroseconds = 2'000;
 constexpr double sDecreaseFactor = 0.7;
--- a/src/libloomjunction/core/adaptivetransferrate.h
+++ b/src/libloomjunction/core/adaptivetransferrate.h
@@ -13,23 +13,23 @@
 namespace Loom {
 
 /**
- * How fast one box moves weights beside its live requests. It gives way when
- * their latency rises over what it is without a transfer, and grows back when
- * that has passed. Owned by the agent's weights service.
+ * Limits the rate at which a box transfers weights while it serves live requests.
+ * The rate falls while the latency of live requests is clearly higher than without a
+ * transfer, and recovers afterwards. Owned by the agent's weights service.
  */
 class AdaptiveTransferRate
 {
 public:
-    /** @p fullRate in bytes a second; zero means no limit and no yielding. */
+    /** @p fullRate is in bytes per second; zero means that the rate is not limited. */
     explicit AdaptiveTransferRate(double fullRate);
 
-    /** First-byte latency of a live request that has just been answered. */
+    /** Adds the first-byte latency of a live request that has just been answered. */
     void addLatency(Microseconds latency, bool isTransferring);
 
-    /** The rate to use now, in bytes a second. */
+    /** The rate to use now, in bytes per second. */
     double rate(Instant now);
 
-    /** It never yields below this part of the full rate, so that a rollout ends. */
+    /** Lower bound as a fraction of the full rate, so that a rollout always completes. */
     static constexpr double sMinRateFraction = 0.1;
 
 private:
@@ -38,7 +38,7 @@
     double mFullRate;
     double mRateFraction = 1.0;
     double mIdleLatencyMicroseconds = 0; ///< smoothed latency without a transfer
-    double mRecentLatencyMicroseconds = 0; ///< smoothed latency of the last requests
+    double mRecentLatencyMicroseconds = 0; ///< smoothed latency of recent requests
     Instant mLastAdjustedAt;
 };
 
--- a/src/libloomjunction/core/chunkplan.cpp
+++ b/src/libloomjunction/core/chunkplan.cpp
@@ -18,43 +18,48 @@
 
 namespace {
 
-// A swarm that brings nothing for this many times its usual gap has stalled.
+// The distribution counts as stalled after this many mean intervals without a chunk.
 constexpr double sStallIntervalFactor = 10;
-// Of the chunks, before the rest counts as late.
+// Fraction of the chunks that must be available before missing ones can be overdue.
 constexpr double sMostAvailableFraction = 0.75;
-// Of the chunks, whose owners must have brought some before others seem silent.
+// Fraction of the chunks whose owners must be active before the other owners can
+// count as silent.
 constexpr double sMinActiveFraction = 0.5;
 constexpr double sIntervalWeight = 0.1;
 constexpr Microseconds sMinTakeoverDelay{500'000};
-// Of the time that most chunks took: not there so much later, the rest is late.
+// Missing chunks are overdue once the time that most chunks took has passed, plus that
+// time divided by this.
 constexpr int sLateDivisor = 4;
-// Of the time that most chunks took: silent for so much longer, an owner is late.
+// An owner counts as silent, and a straggler as stalled, after a delay of the time that
+// the other chunks took divided by this.
 constexpr int sSilenceDivisor = 8;
-// A chunk needs some time from the origin to those who wait for it.
+// Lower bound of the delay before an owner counts as silent, because a chunk needs some
+// time from the origin to the waiting members.
 constexpr Microseconds sMinSilence{150'000};
-// Of the chunks: with so many here, the rest are stragglers.
+// Fraction of the chunks that must be stored before the rest count as stragglers.
 constexpr double sTailFraction = 0.85;
-// Members that ask the origin for a straggler, one after the other.
+// Number of members that request a straggler from the origin, one after the other.
 constexpr std::uint32_t sMaxTakeoverMembers = 3;
-// Until a chunk that came to any member is known of, at most.
+// Upper bound of the time until other members know of a chunk that a member received.
 constexpr Microseconds sMaxAnnounceDelay{250'000};
-// After the first failure of a pull, which may be a spoilt copy that the next one
-// puts right, and the most after doubling, for an origin that is dead.
+// Backoff after the first failed pull, which may be a corrupt copy that a second pull
+// replaces, and its upper bound after doubling, for an origin that is down.
 constexpr Milliseconds sMinOriginBackoff{25};
 constexpr Milliseconds sMaxOriginBackoff{400};
-// Failures in a row that may be those of one connection; an origin that gives nothing
-// after them is away.
+// Number of consecutive failures that a single broken connection may explain; after
+// more of them the origin counts as unavailable.
 constexpr std::uint32_t sMaxTransientOriginFailures = 2;
-// A round over the chunks that an origin still owes: shorter ones would ask a dead one
-// without end, longer ones would leave its link idle after its return.
+// Bounds of the duration of a retry round over the chunks still missing from the origin.
+// Shorter rounds would flood an unavailable origin with requests, longer ones would
+// leave its link idle after its return.
 constexpr Microseconds sMinOriginRound{100'000};
 constexpr Microseconds sMaxOriginRound{2'000'000};
 constexpr Milliseconds sBusyBackoff{20};
 constexpr Milliseconds sMissingBackoff{200};
 constexpr Milliseconds sGoneBackoff{2'000};
 constexpr Milliseconds sCorruptBackoff{30'000};
-// Part of the neighbours that are picked from all members, so that data
-// centres stay connected with each other.
+// One in this many neighbours is chosen from all members, so that the data centres
+// stay connected with each other.
 constexpr std::uint32_t sAnyDataCentreDivisor = 3;
 
 Milliseconds backoffAfter(ChunkFailure why)
@@ -73,17 +78,19 @@
     return sGoneBackoff;
 }
 
-// The place of @p self among those who take @p key: the owner, then by weight.
+// Position of @p self in the takeover order of @p key: the owner comes first, then the
+// others by descending rendezvous weight.
 std::uint32_t rankOf(std::string_view key, std::span<const std::string> boxes,
                      std::size_t ownerIndex, std::string_view self)
 {
     if (boxes[ownerIndex] == self) {
         return 0;
     }
-    const std::uint64_t own = rendezvousWeight(key, self);
+    const std::uint64_t ownWeight = rendezvousWeight(key, self);
     std::uint32_t rank = 1;
     for (std::size_t other = 0; other < boxes.size(); ++other) {
-        const bool isBefore = other != ownerIndex && rendezvousWeight(key, boxes[other]) > own;
+        const bool isBefore
+            = other != ownerIndex && rendezvousWeight(key, boxes[other]) > ownWeight;
         rank += isBefore ? 1 : 0;
     }
     return rank;
@@ -134,8 +141,9 @@
         sorted.push_back(mSelf);
     }
     std::ranges::sort(sorted, {}, &SwarmMember::box);
-    const auto same = [](const SwarmMember &a, const SwarmMember &b) { return a.box == b.box; };
-    if (std::ranges::equal(sorted, mMembers, same)) {
+    const auto isSameBox
+        = [](const SwarmMember &a, const SwarmMember &b) { return a.box == b.box; };
+    if (std::ranges::equal(sorted, mMembers, isSameBox)) {
         return;
     }
     mMembers = std::move(sorted);
@@ -151,28 +159,28 @@
         keys.push_back(mDigest + "#" + std::to_string(index));
     }
     std::vector<std::string> boxes;
-    std::vector<std::string> near;
+    std::vector<std::string> localBoxes;
     for (const SwarmMember &member : mMembers) {
         boxes.push_back(member.box);
         if (member.dataCentre == mSelf.dataCentre) {
-            near.push_back(member.box);
+            localBoxes.push_back(member.box);
         }
     }
     const std::vector<std::size_t> owners = evenOwners(keys, boxes);
-    const std::vector<std::size_t> importers = evenOwners(keys, near);
+    const std::vector<std::size_t> importers = evenOwners(keys, localBoxes);
     mAvailableByOwner.assign(mMembers.size(), 0);
     for (std::uint32_t index = 0; index < mChunks.size(); ++index) {
         Chunk &chunk = mChunks[index];
         chunk.ownerIndex = static_cast<std::uint32_t>(owners[index]);
         chunk.originRank = rankOf(keys[index], boxes, owners[index], mSelf.box);
-        chunk.importRank = rankOf(keys[index], near, importers[index], mSelf.box);
+        chunk.importRank = rankOf(keys[index], localBoxes, importers[index], mSelf.box);
         mAvailableByOwner[chunk.ownerIndex] += chunk.wasAvailable ? 1 : 0;
     }
 }
 
 std::vector<std::string> ChunkPlan::swarmNeighbours() const
 {
-    std::vector<std::string> near;
+    std::vector<std::string> localBoxes;
     std::vector<std::string> all;
     for (const SwarmMember &member : mMembers) {
         if (member.box == mSelf.box) {
@@ -180,33 +188,35 @@
         }
         all.push_back(member.box);
         if (member.dataCentre == mSelf.dataCentre) {
-            near.push_back(member.box);
+            localBoxes.push_back(member.box);
         }
     }
     const std::string key = mSelf.box + "/" + mDigest;
-    const std::uint32_t far
+    const std::uint32_t anyDataCentreCount
         = std::max<std::uint32_t>(1, mOptions.neighbourCount / sAnyDataCentreDivisor);
-    std::vector<std::string> wanted;
-    const auto want = [&](const std::string &box) {
-        if (std::ranges::find(wanted, box) == wanted.end()) {
-            wanted.push_back(box);
+    std::vector<std::string> selected;
+    const auto select = [&](const std::string &box) {
+        if (std::ranges::find(selected, box) == selected.end()) {
+            selected.push_back(box);
         }
     };
-    for (const std::size_t index : rendezvousOrder(key, near, mOptions.neighbourCount - far)) {
-        want(near[index]);
+    for (const std::size_t index :
+         rendezvousOrder(key, localBoxes, mOptions.neighbourCount - anyDataCentreCount)) {
+        select(localBoxes[index]);
     }
     for (const std::size_t index : rendezvousOrder(key, all, all.size())) {
-        if (wanted.size() >= mOptions.neighbourCount) {
+        if (selected.size() >= mOptions.neighbourCount) {
             break;
         }
-        want(all[index]);
+        select(all[index]);
     }
-    // The next member in order keeps the whole swarm one connected ring.
+    // Each member also connects to its successor in the sorted list. This ring keeps the
+    // whole swarm connected.
     if (!all.empty()) {
         const auto next = std::ranges::upper_bound(all, mSelf.box);
-        want(next == all.end() ? all.front() : *next);
+        select(next == all.end() ? all.front() : *next);
     }
-    return wanted;
+    return selected;
 }
 
 std::vector<std::string> ChunkPlan::chainNeighbours() const
@@ -226,20 +236,20 @@
 
 void ChunkPlan::chooseNeighbours()
 {
-    std::vector<std::string> wanted;
+    std::vector<std::string> selected;
     switch (mOptions.policy) {
     case FetchPolicy::Swarm:
-        wanted = swarmNeighbours();
+        selected = swarmNeighbours();
         break;
     case FetchPolicy::Chain:
-        wanted = chainNeighbours();
+        selected = chainNeighbours();
         break;
     case FetchPolicy::OriginOnly:
         break;
     }
     for (auto it = mPeers.begin(); it != mPeers.end();) {
-        const bool stays = std::ranges::find(wanted, it->first) != wanted.end();
-        if (stays) {
+        const bool isKept = std::ranges::find(selected, it->first) != selected.end();
+        if (isKept) {
             ++it;
             continue;
         }
@@ -248,7 +258,7 @@
         clearPeerChunks(box);
         mPeers.erase(box);
     }
-    for (const std::string &box : wanted) {
+    for (const std::string &box : selected) {
         Peer &peer = mPeers[box];
         peer.has.resize(mChunks.size());
         peer.isSameDataCentre = isInOwnDataCentre(box);
@@ -295,10 +305,10 @@
 
 std::vector<ChunkFetch> ChunkPlan::next(Instant now)
 {
-    std::vector<ChunkFetch> out;
-    planPeerRequests(out, now);
-    planOriginRequests(out, now);
-    return out;
+    std::vector<ChunkFetch> requests;
+    planPeerRequests(requests, now);
+    planOriginRequests(requests, now);
+    return requests;
 }
 
 Microseconds ChunkPlan::takeoverDelay() const
@@ -306,24 +316,25 @@
     if (mMeanIntervalMicroseconds <= 0) {
         return mOptions.maxTakeoverDelay;
     }
-    const auto stalled
+    const auto stallTime
         = Microseconds(static_cast<std::int64_t>(mMeanIntervalMicroseconds * sStallIntervalFactor));
-    return std::clamp<Microseconds>(stalled, sMinTakeoverDelay, mOptions.maxTakeoverDelay);
+    return std::clamp<Microseconds>(stallTime, sMinTakeoverDelay, mOptions.maxTakeoverDelay);
 }
 
-// Members hear of a version some tenths of a second after each other, and the last in
-// turn must not wait for that on top.
-// When all hear of a version so late that every turn has passed, as after an outage of
-// the store, turns begin then: all at once, they would be whole 1.5 s later.
+// Turns are counted from a common moment, because members learn of a version some
+// tenths of a second apart and the last owner in turn must not wait for that as well.
+// If all members learn of a version after every turn has passed, as after an outage of
+// the store, the turns start with the plan instead. If all owners pulled at once then,
+// the members would be complete 1.5 s later.
 Instant ChunkPlan::firstOriginPullAt() const
 {
-    const Microseconds all = mOptions.originPullInterval * static_cast<int>(mChunks.size());
-    const bool hasPassed = mOptions.originPullStart + all <= mStartedAt;
+    const Microseconds allTurns = mOptions.originPullInterval * static_cast<int>(mChunks.size());
+    const bool hasPassed = mOptions.originPullStart + allTurns <= mStartedAt;
     return hasPassed ? mStartedAt : mOptions.originPullStart;
 }
 
-// If all owners began at once, the origin's link would bring all chunks at the
-// same late moment, and until then boxes would have nothing to pass on.
+// Pulls are staggered: if all owners pulled at once, they would share the origin's link
+// and all chunks would arrive late and together, with nothing to forward until then.
 Instant ChunkPlan::originPullAt(const Chunk &chunk) const
 {
     return firstOriginPullAt() + mOptions.originPullInterval * chunk.index;
@@ -338,7 +349,7 @@
     return now + std::min<Milliseconds>(sMinOriginBackoff * (1 << doublings), sMaxOriginBackoff);
 }
 
-// The time in which an origin that was away gives out what it still owes.
+// The time that a returned origin needs to send the chunks that are not available yet.
 Microseconds ChunkPlan::originRoundDuration() const
 {
     const auto owed = std::ranges::count_if(mChunks, [](const Chunk &chunk) {
@@ -348,25 +359,28 @@
                                     sMaxOriginRound);
 }
 
-// Where all ask an origin that was away again and again, they all find it back at once:
-// its link is shared by all chunks, which come at one late moment, and boxes have nothing
-// to pass on until then. In a round, whatever moment the origin returns at, its chunks
-// leave one after the other from there. Whoever steps in for an owner asks in few rounds.
+// If all members retried an unavailable origin with a short interval, they would all
+// reach it as soon as it returned. All chunks would then share its link and arrive late
+// and together, with nothing to forward until then. In a retry round each chunk has its
+// own turn, so that the origin sends one chunk after the other whenever it returns.
+// Members that are not the owner of a chunk retry it only in some of the rounds.
 Instant ChunkPlan::nextOriginRoundAt(const Chunk &chunk, Instant now) const
 {
     const auto isBefore = [&](const Chunk &other) {
         return other.index < chunk.index && other.state != State::Have && other.holderCount == 0;
     };
-    const auto before = std::ranges::count_if(mChunks, isBefore);
+    const auto countBefore = std::ranges::count_if(mChunks, isBefore);
     const Microseconds round = originRoundDuration();
-    const Instant own = firstOriginPullAt() + (mOptions.originPullInterval * before) % round;
+    const Instant ownTurn
+        = firstOriginPullAt() + (mOptions.originPullInterval * countBefore) % round;
     const std::int64_t rounds = 1LL << 2 * std::min(chunk.originRank, sMaxTakeoverMembers);
-    const Instant begin = own + round * (chunk.tieBreak % rounds);
+    const Instant begin = ownTurn + round * (chunk.tieBreak % rounds);
     const Microseconds past = std::max<Microseconds>(now - begin, Microseconds(0));
     return begin + round * rounds * (past / (round * rounds) + 1);
 }
 
-// Chunks turn up again, and each owner has had its moment.
+// Whether the origin has returned and all better ranked members have had a full retry
+// round and the time to announce the chunk.
 bool ChunkPlan::mayRetryReturnedOrigin(const Chunk &chunk, Instant now) const
 {
     return !mIsOriginUnavailable && mReturnRoundEndsAt != Instant()
@@ -388,28 +402,29 @@
         break;
     }
     if (chunk.originRank < mOptions.originCopies) {
-        // One copy is enough: who comes later takes it from those who have it.
+        // One copy is enough: an owner that starts late gets the chunk from a neighbour.
         return mOptions.originCopies > 1 || chunk.holderCount == 0;
     }
     const std::uint32_t turn = chunk.originRank / mOptions.originCopies;
     return chunk.holderCount == 0 && isOverdueAtOrigin(chunk, turn, now);
 }
 
-// All members own about as many chunks and share the origin's link: whoever
-// brought none a while after the others were nearly done cannot reach the
-// origin, or is gone.
+// All members own about the same number of chunks and share the origin's link. An
+// owner that has provided none of its chunks some time after the others have provided
+// most of theirs cannot reach the origin or is down.
 std::optional<Instant> ChunkPlan::ownerSilentSince(const Chunk &chunk) const
 {
     if (!mOwnShareStoredAt || !mActiveSharesAvailableAt
         || mAvailableByOwner[chunk.ownerIndex] > 0) {
         return std::nullopt;
     }
-    const Instant found = std::max(*mOwnShareStoredAt, *mActiveSharesAvailableAt);
-    const Instant done = std::max(found, originPullAt(chunk) + mOptions.originPullInterval);
+    const Instant sharesDone = std::max(*mOwnShareStoredAt, *mActiveSharesAvailableAt);
+    const Instant done = std::max(sharesDone, originPullAt(chunk) + mOptions.originPullInterval);
     return done + std::max<Microseconds>((done - mStartedAt) / sSilenceDivisor, sMinSilence);
 }
 
-// Whether the owners that brought any chunk have brought most of theirs.
+// Whether most chunks of the active owners are available. An owner is active once at
+// least one of its chunks is available.
 bool ChunkPlan::areActiveSharesAvailable() const
 {
     const auto isOfActive
@@ -430,10 +445,10 @@
     }
 }
 
-// The responsible members may be dead or stalled: later ones step in one after
-// the other. While chunks still turn up, a new one puts all that off, so that an
-// origin that merely is slow is asked for nothing twice. Once most have turned
-// up, the rest is late by the time that these took, each chunk for itself.
+// If the owners of a chunk are down or stalled, the next members in order take over one
+// after the other. Until most chunks are available, each new one postpones the takeover
+// of all others, so that nothing is requested twice from an origin that is merely slow.
+// After that, each chunk has its own deadline, based on the time that most chunks took.
 bool ChunkPlan::isOverdueAtOrigin(const Chunk &chunk, std::uint32_t turn, Instant now) const
 {
     if (const auto silent = ownerSilentSince(chunk)) {
@@ -442,12 +457,13 @@
     if (!mMostAvailableAt) {
         return now - mLastAvailableAt >= takeoverDelay() * static_cast<int>(turn);
     }
-    const Microseconds most = *mMostAvailableAt - mStartedAt;
+    const Microseconds mostDuration = *mMostAvailableAt - mStartedAt;
     const Microseconds step
-        = std::clamp<Microseconds>(most, sMinTakeoverDelay, mOptions.maxTakeoverDelay);
-    const Microseconds turned = originPullAt(chunk) - mStartedAt;
-    const Microseconds due = std::max<Microseconds>(
-        {most + most / sLateDivisor, sMinTakeoverDelay, turned + turned / sLateDivisor});
+        = std::clamp<Microseconds>(mostDuration, sMinTakeoverDelay, mOptions.maxTakeoverDelay);
+    const Microseconds turnOffset = originPullAt(chunk) - mStartedAt;
+    const Microseconds due
+        = std::max<Microseconds>({mostDuration + mostDuration / sLateDivisor, sMinTakeoverDelay,
+                                  turnOffset + turnOffset / sLateDivisor});
     return now - mStartedAt >= due + step * static_cast<int>(turn - 1);
 }
 
@@ -472,8 +488,8 @@
     }
 }
 
-// Far copies are dear: one member of each data centre brings a chunk in. The
-// next in order steps in when nothing comes any more.
+// Transfers between data centres are expensive, so one member of each data centre
+// imports a chunk. The next member in order takes over after the takeover delay.
 bool ChunkPlan::mayImport(const Chunk &chunk, Instant now) const
 {
     if (!mOptions.hasSingleImport || chunk.importRank == 0) {
@@ -482,70 +498,72 @@
     return now - chunk.availableSince >= takeoverDelay() * static_cast<int>(chunk.importRank);
 }
 
-// Whoever holds the last chunks may be on a link of a tenth of the others'
-// bandwidth, and all would wait for it: seconds, where the origin needs some
-// dozens of milliseconds. Few step in, so that few chunks are sent twice.
+// The only holder of the last chunks may have a link with a tenth of the usual
+// bandwidth. All members would then wait for it for seconds, whereas the origin sends a
+// chunk within some tens of milliseconds. Only a few members pull such a chunk from the
+// origin, so that few chunks are sent twice.
 bool ChunkPlan::isStraggler(const Chunk &chunk, Instant now) const
 {
     const bool isOpen = chunk.state != State::Have && !chunk.isRequestedFromOrigin;
     const bool isTail = mStoredCount >= sTailFraction * static_cast<double>(mChunks.size());
-    const bool mayStepIn = mOptions.policy == FetchPolicy::Swarm && chunk.originRank >= 1
+    const bool mayTakeOver = mOptions.policy == FetchPolicy::Swarm && chunk.originRank >= 1
         && chunk.originRank <= sMaxTakeoverMembers && chunk.originRetryAt <= now;
-    if (!isOpen || !isTail || !mayStepIn || chunk.holderCount == 0) {
+    if (!isOpen || !isTail || !mayTakeOver || chunk.holderCount == 0) {
         return false;
     }
     const Microseconds stalled = now - mLastReceivedAt;
-    const Microseconds patience = std::max<Microseconds>(
+    const Microseconds stragglerDelay = std::max<Microseconds>(
         (mLastReceivedAt - mStartedAt) / sSilenceDivisor, sMaxAnnounceDelay);
-    return stalled >= patience * static_cast<int>(chunk.originRank);
+    return stalled >= stragglerDelay * static_cast<int>(chunk.originRank);
 }
 
-void ChunkPlan::planOriginRequests(std::vector<ChunkFetch> &out, Instant now)
+void ChunkPlan::planOriginRequests(std::vector<ChunkFetch> &requests, Instant now)
 {
-    // The rarest first here too: a chunk that a neighbour holds can wait.
-    std::vector<std::uint32_t> wanted;
+    // The rarest chunks come first here as well; a chunk held by a neighbour can wait.
+    std::vector<std::uint32_t> selected;
     for (std::uint32_t index = 0; index < mChunks.size(); ++index) {
         Chunk &chunk = mChunks[index];
         bool isDue = chunk.state == State::Missing && mayPullFromOrigin(chunk, now);
-        // It would step in together with all others of its rank.
+        // The origin is known to be unavailable: without a turn in a retry round, this
+        // member would take over together with all others of its rank.
         if (isDue && mIsOriginUnavailable && chunk.consecutiveOriginFailures == 0) {
             chunk.consecutiveOriginFailures = sMaxTransientOriginFailures;
             chunk.originRetryAt = nextOriginRoundAt(chunk, now);
             isDue = false;
         }
         if (isDue || isStraggler(chunk, now)) {
-            wanted.push_back(index);
+            selected.push_back(index);
         }
     }
-    std::ranges::sort(wanted, {}, [&](std::uint32_t index) {
+    std::ranges::sort(selected, {}, [&](std::uint32_t index) {
         return std::pair(mChunks[index].holderCount, mChunks[index].tieBreak);
     });
-    for (const std::uint32_t index : wanted) {
+    for (const std::uint32_t index : selected) {
         if (mOpenOriginRequests >= mOptions.maxOriginRequests) {
             return;
         }
         mChunks[index].state = State::Requested;
         mChunks[index].isRequestedFromOrigin = true;
         ++mOpenOriginRequests;
-        out.push_back({index, FromOrigin{}});
+        requests.push_back({index, FromOrigin{}});
     }
 }
 
-void ChunkPlan::planPeerRequests(std::vector<ChunkFetch> &out, Instant now)
+void ChunkPlan::planPeerRequests(std::vector<ChunkFetch> &requests, Instant now)
 {
     if (mOpenPeerRequests >= mOptions.maxPeerRequests) {
         return;
     }
-    std::vector<std::uint32_t> wanted;
+    std::vector<std::uint32_t> selected;
     for (std::uint32_t index = 0; index < mChunks.size(); ++index) {
         if (mChunks[index].state == State::Missing && mChunks[index].holderCount > 0) {
-            wanted.push_back(index);
+            selected.push_back(index);
         }
     }
-    std::ranges::sort(wanted, {}, [&](std::uint32_t index) {
+    std::ranges::sort(selected, {}, [&](std::uint32_t index) {
         return std::pair(mChunks[index].holderCount, mChunks[index].tieBreak);
     });
-    for (const std::uint32_t index : wanted) {
+    for (const std::uint32_t index : selected) {
         if (mOpenPeerRequests >= mOptions.maxPeerRequests) {
             return;
         }
@@ -556,7 +574,7 @@
         mChunks[index].state = State::Requested;
         ++mOpenPeerRequests;
         ++mPeers.find(*box)->second.open;
-        out.push_back({index, FromPeer{*box}});
+        requests.push_back({index, FromPeer{*box}});
     }
 }
 
@@ -564,11 +582,11 @@
 {
     const std::string *best = nullptr;
     std::pair<std::uint32_t, bool> bestCost;
-    const bool mayBeFar = mayImport(mChunks[index], now);
+    const bool isImportAllowed = mayImport(mChunks[index], now);
     for (const auto &[box, peer] : mPeers) {
-        const bool usable = peer.has[index] && peer.open < mOptions.maxRequestsPerPeer
-            && peer.avoidedUntil <= now && (peer.isSameDataCentre || mayBeFar);
-        if (!usable) {
+        const bool isUsable = peer.has[index] && peer.open < mOptions.maxRequestsPerPeer
+            && peer.avoidedUntil <= now && (peer.isSameDataCentre || isImportAllowed);
+        if (!isUsable) {
             continue;
         }
         const std::pair cost{peer.open, !peer.isSameDataCentre};
@@ -629,10 +647,10 @@
 {
     closeRequest(source);
     addStored(index);
-    const auto gap = static_cast<double>((now - mLastReceivedAt).count());
+    const auto interval = static_cast<double>((now - mLastReceivedAt).count());
     const bool isFirst = mMeanIntervalMicroseconds <= 0;
     mMeanIntervalMicroseconds
-        += (isFirst ? 1.0 : sIntervalWeight) * (gap - mMeanIntervalMicroseconds);
+        += (isFirst ? 1.0 : sIntervalWeight) * (interval - mMeanIntervalMicroseconds);
     mLastReceivedAt = now;
     updateOwnShare(now);
     if (std::holds_alternative<FromOrigin>(source)) {
@@ -665,8 +683,8 @@
         return;
     }
     it->second.avoidedUntil = std::max(it->second.avoidedUntil, now + backoffAfter(why));
-    const bool lacksIt = why == ChunkFailure::Missing || why == ChunkFailure::Corrupt;
-    if (lacksIt && it->second.has[index]) {
+    const bool isAbsent = why == ChunkFailure::Missing || why == ChunkFailure::Corrupt;
+    if (isAbsent && it->second.has[index]) {
         it->second.has[index] = false;
         --chunk.holderCount;
     }
--- a/src/libloomjunction/core/chunkplan.h
+++ b/src/libloomjunction/core/chunkplan.h
@@ -31,14 +31,14 @@
 };
 using ChunkSource = std::variant<FromOrigin, FromPeer>;
 
-/** One chunk to ask for now. */
+/** A request to send for one chunk. */
 struct ChunkFetch
 {
     std::uint32_t index = 0;
     ChunkSource source;
 };
 
-/** Why a chunk did not come. */
+/** Why a chunk request failed. */
 enum class ChunkFailure : std::uint8_t
 {
     Busy,
@@ -49,40 +49,41 @@
 };
 std::string_view chunkFailureName(ChunkFailure failure);
 
-/** How far a plan is, for logs. */
+/** A snapshot of a plan's progress for log lines. */
 struct ChunkProgress
 {
     std::uint32_t storedCount = 0;
     std::uint32_t requestedCount = 0;
-    std::uint32_t availableCount = 0; ///< missing here, some neighbour has it
-    std::uint32_t unavailableCount = 0; ///< missing here, no neighbour is known to have it
-    std::uint32_t firstUnavailable = 0; ///< the first of those, if there is one
-    std::string firstUnavailableOwner; ///< the member that pulls that one from the origin
+    std::uint32_t availableCount = 0; ///< missing here, held by at least one neighbour
+    std::uint32_t unavailableCount = 0; ///< missing here, not known to be held by any neighbour
+    std::uint32_t firstUnavailable = 0; ///< index of the first unavailable chunk
+    std::string firstUnavailableOwner; ///< the member responsible for pulling that chunk
     std::uint32_t openOriginRequests = 0;
     std::uint32_t openPeerRequests = 0;
-    Microseconds sinceLastChunk{0}; ///< since a chunk came
+    Microseconds sinceLastChunk{0}; ///< time since the last chunk was received
 };
 
-/** Another agent that fetches or holds the same version. */
+/** An agent that fetches or holds the same version. */
 struct SwarmMember
 {
     std::string box;
     std::string dataCentre;
 };
 
-/** How chunks spread. Swarm is what runs; the others are there to be compared with. */
+/** How chunks are distributed. Swarm is for production, the others are for comparison. */
 enum class FetchPolicy : std::uint8_t
 {
     Swarm,
-    OriginOnly, ///< everybody pulls everything from the origin
-    Chain, ///< each member pulls from the one before it, the first from the origin
+    OriginOnly, ///< every member pulls every chunk from the origin
+    Chain, ///< each member pulls from its predecessor, the first one from the origin
 };
 
 /**
- * Decides which chunk one agent asks whom for, without a leader: every chunk
- * has responsible members by rendezvous, who pull it from the origin; all
- * others wait for a neighbour to have it, rarest first, own data centre
- * first. Owned by the agent's weights service, one for each fetch.
+ * Decides which chunks an agent requests from which source, without a leader.
+ * Rendezvous hashing assigns each chunk to owners, which pull it from the origin.
+ * All other members wait until a neighbour has the chunk; they request the rarest
+ * chunks first and prefer neighbours in their own data centre. Each fetch of a
+ * version has its own plan.
  */
 class ChunkPlan
 {
@@ -90,17 +91,17 @@
     struct Options
     {
         FetchPolicy policy = FetchPolicy::Swarm;
-        std::uint32_t originCopies = 1; ///< members that pull a chunk from the origin
-        std::uint32_t maxOriginRequests = 2; ///< requests open to the origin
-        std::uint32_t maxPeerRequests = 6; ///< requests open to all neighbours
-        std::uint32_t maxRequestsPerPeer = 2; ///< requests open to one neighbour
+        std::uint32_t originCopies = 1; ///< number of members that pull each chunk from the origin
+        std::uint32_t maxOriginRequests = 2; ///< concurrent requests to the origin
+        std::uint32_t maxPeerRequests = 6; ///< concurrent requests to all neighbours together
+        std::uint32_t maxRequestsPerPeer = 2; ///< concurrent requests to one neighbour
         std::uint32_t neighbourCount = 8;
-        /** Each chunk enters a data centre once; the others there wait for it. */
+        /** One member of each data centre imports a chunk; the other members there wait for it. */
         bool hasSingleImport = false;
-        Milliseconds maxTakeoverDelay{4'000}; ///< longest wait before the next member steps in
-        /** The origin's time for one chunk; owners begin their pulls one after the other. */
+        Milliseconds maxTakeoverDelay{4'000}; ///< upper bound for takeoverDelay()
+        /** Interval between the owners' pulls: the time that the origin needs for a chunk. */
         Microseconds originPullInterval{0};
-        /** When the first of them begins; earlier than the plan: as soon as it does. */
+        /** When the first pull is due; may be earlier than the start of the plan. */
         Instant originPullStart;
         std::uint64_t seed = 1;
     };
@@ -108,25 +109,28 @@
     ChunkPlan(std::string_view manifestDigest, std::uint32_t chunkCount, SwarmMember self,
               Options options, Instant now);
 
-    /** The live members, this one among them or not. */
+    /** Sets the live members, with or without this one. */
     void setMembers(std::span<const SwarmMember> members);
 
-    /** The members whose chunks this agent should follow. */
+    /** The members whose chunk announcements this agent should subscribe to. */
     std::vector<std::string> neighbours() const;
     bool isNeighbour(std::string_view box) const { return mPeers.contains(box); }
 
+    /** Neighbour @p box has announced chunk @p index. */
     void addPeerChunk(std::string_view box, std::uint32_t index, Instant now);
+    /** Neighbour @p box is unreachable; its chunks no longer count as available. */
     void clearPeerChunks(std::string_view box);
 
-    /** Requests open to neighbours at most from now on, e.g. fewer on a slow link. */
+    /** Changes the limit of concurrent requests to neighbours, e.g. lowers it on a slow link. */
     void setMaxPeerRequests(std::uint32_t count) { mOptions.maxPeerRequests = count; }
-    /** Requests to send now; each must be answered by received() or failed(). */
+    /** Returns the requests to send now; each must be followed by received() or failed(). */
     std::vector<ChunkFetch> next(Instant now);
 
-    /** Chunk @p index was here before the plan began. */
+    /** Chunk @p index was stored before the plan started. */
     void addStored(std::uint32_t index);
-    /** Chunk @p index came whole and verified. */
+    /** Chunk @p index was received and verified. */
     void received(std::uint32_t index, const ChunkSource &source, Instant now);
+    /** The request for chunk @p index to @p source failed. */
     void failed(std::uint32_t index, const ChunkSource &source, ChunkFailure why, Instant now);
 
     ChunkProgress progress(Instant now) const;
@@ -134,7 +138,7 @@
     std::uint32_t storedCount() const { return mStoredCount; }
     std::uint32_t chunkCount() const { return static_cast<std::uint32_t>(mChunks.size()); }
     bool isComplete() const { return mStoredCount == mChunks.size(); }
-    /** The manifest's digest that this plan fetches. */
+    /** Digest of the manifest whose chunks this plan fetches. */
     const std::string &manifestDigest() const { return mDigest; }
 
 private:
@@ -148,17 +152,17 @@
     struct Chunk
     {
         State state = State::Missing;
-        std::uint32_t index = 0; ///< its index
-        std::uint32_t ownerIndex = 0; ///< the member that pulls it from the origin, by index
-        std::uint32_t originRank = 0; ///< our place among those who step in; zero: the owner
-        std::uint32_t importRank = 0; ///< our place among the members of our data centre
-        std::uint32_t holderCount = 0; ///< neighbours known to have it
+        std::uint32_t index = 0;
+        std::uint32_t ownerIndex = 0; ///< index of the owner in mMembers
+        std::uint32_t originRank = 0; ///< own position in the takeover order; the owner has 0
+        std::uint32_t importRank = 0; ///< own position in the import order of the own data centre
+        std::uint32_t holderCount = 0; ///< number of neighbours known to have the chunk
         std::uint32_t tieBreak = 0;
         Instant originRetryAt;
-        std::uint32_t consecutiveOriginFailures = 0; ///< in a row
+        std::uint32_t consecutiveOriginFailures = 0;
         bool isRequestedFromOrigin = false;
-        bool wasAvailable = false;
-        Instant availableSince; ///< when a neighbour was first known to have it
+        bool wasAvailable = false; ///< received from the origin, or announced by a neighbour
+        Instant availableSince; ///< when the chunk last became available at the neighbours
     };
 
     struct Peer
@@ -174,8 +178,8 @@
     std::vector<std::string> swarmNeighbours() const;
     std::vector<std::string> chainNeighbours() const;
     bool isInOwnDataCentre(std::string_view box) const;
-    void planOriginRequests(std::vector<ChunkFetch> &out, Instant now);
-    void planPeerRequests(std::vector<ChunkFetch> &out, Instant now);
+    void planOriginRequests(std::vector<ChunkFetch> &requests, Instant now);
+    void planPeerRequests(std::vector<ChunkFetch> &requests, Instant now);
     Microseconds takeoverDelay() const;
     Instant firstOriginPullAt() const;
     Instant originPullAt(const Chunk &chunk) const;
@@ -200,21 +204,21 @@
     std::vector<Chunk> mChunks;
     std::vector<SwarmMember> mMembers;
     std::map<std::string, Peer, std::less<>> mPeers;
-    std::vector<std::uint32_t> mAvailableByOwner; ///< chunks that turned up, by their owner's index
+    std::vector<std::uint32_t> mAvailableByOwner; ///< number of available chunks by owner index
     std::uint32_t mStoredCount = 0;
     std::uint32_t mOpenOriginRequests = 0;
     std::uint32_t mOpenPeerRequests = 0;
-    Instant mLastReceivedAt; ///< when a chunk came
+    Instant mLastReceivedAt; ///< when the last chunk was received
     Instant mStartedAt;
-    Instant mLastAvailableAt; ///< when one came or was first held by a neighbour
-    std::uint32_t mAvailableCount = 0; ///< chunks that came, or that a neighbour ever held
-    bool mIsOriginUnavailable = false; ///< as far as our own pulls tell
-    Instant mReturnRoundEndsAt; ///< when all owners have asked an origin that came back
-    std::optional<Instant> mOwnShareStoredAt; ///< when all chunks that are ours had come
-    std::optional<Instant>
-        mActiveSharesAvailableAt; ///< when most of the active owners' chunks had turned up
-    std::optional<Instant> mMostAvailableAt; ///< when that was most of them
-    double mMeanIntervalMicroseconds = 0; ///< smoothed, between chunks that came
+    Instant mLastAvailableAt; ///< when the origin or a neighbour last provided a new chunk
+    std::uint32_t mAvailableCount = 0; ///< number of chunks with wasAvailable set
+    bool mIsOriginUnavailable = false; ///< judged by the own pulls only
+    Instant mReturnRoundEndsAt; ///< when every owner has retried the returned origin
+    std::optional<Instant> mOwnShareStoredAt; ///< when all chunks owned by this member were stored
+    /** When most chunks of the active owners were available. */
+    std::optional<Instant> mActiveSharesAvailableAt;
+    std::optional<Instant> mMostAvailableAt; ///< when most of all chunks were available
+    double mMeanIntervalMicroseconds = 0; ///< smoothed interval between received chunks
     std::mt19937_64 mRandom;
 };
 
--- a/src/libloomjunction/core/versionswitch.cpp
+++ b/src/libloomjunction/core/versionswitch.cpp
@@ -29,8 +29,8 @@
 void VersionSwitch::setTargets(std::optional<VersionTarget> serving,
                                std::optional<VersionTarget> preload)
 {
-    // Only a version that is really loaded can stand in: one that was itself
-    // on its way must not push out the version that serves.
+    // Only a loaded version can serve until the new target is ready. A target that
+    // was not loaded yet must not replace the version that is serving.
     if (!isSame(serving, mServingTarget) && mServingTarget && isLoaded(*mServingTarget)) {
         mPreviousTarget = mServingTarget;
     }
@@ -40,9 +40,9 @@
 
 void VersionSwitch::markFetched(std::string_view version, std::string_view manifestDigest)
 {
-    const bool current = mFetchingVersion == version && mFetchingDigest == manifestDigest;
-    if (!current) {
-        return; // a fetch that was superseded while its last chunk came
+    const bool isCurrent = mFetchingVersion == version && mFetchingDigest == manifestDigest;
+    if (!isCurrent) {
+        return; // the fetch was superseded before its last chunk arrived
     }
     mVerifiedDigests[std::string(version)] = std::string(manifestDigest);
     mFetchingVersion.reset();
@@ -51,8 +51,8 @@
 void VersionSwitch::setEngineReport(std::span<const LoadedVersion> loaded, Instant)
 {
     mLoaded.assign(loaded.begin(), loaded.end());
-    const bool arrived = mServingTarget && isLoaded(*mServingTarget);
-    if (arrived) {
+    const bool isServingLoaded = mServingTarget && isLoaded(*mServingTarget);
+    if (isServingLoaded) {
         mPreviousTarget.reset();
     }
 }
@@ -77,9 +77,9 @@
 {
     std::vector<const VersionTarget *> all;
     for (const auto *target : {&mServingTarget, &mPreloadTarget, &mPreviousTarget}) {
-        const auto known
+        const auto isKnown
             = [&](const VersionTarget *other) { return other->version == (*target)->version; };
-        if (*target && std::ranges::none_of(all, known)) {
+        if (*target && std::ranges::none_of(all, isKnown)) {
             all.push_back(&**target);
         }
     }
@@ -127,9 +127,9 @@
         }
     }
     for (const LoadedVersion &loaded : mLoaded) {
-        const bool unwanted
+        const bool isUnwanted
             = !isTarget(loaded.version) && mServingTarget && isLoaded(*mServingTarget);
-        if (unwanted && mayOrder && !mPendingOrders.contains(loaded.version)) {
+        if (isUnwanted && mayOrder && !mPendingOrders.contains(loaded.version)) {
             mPendingOrders.insert(loaded.version);
             actions.emplace_back(OrderUnload{loaded.version});
         }
--- a/src/libloomjunction/core/versionswitch.h
+++ b/src/libloomjunction/core/versionswitch.h
@@ -22,14 +22,14 @@
 
 namespace Loom {
 
-/** A version and the digest of the only weights that may go by its name. */
+/** A version and the manifest digest that identifies its weights. */
 struct VersionTarget
 {
     std::string version;
     std::string manifestDigest;
 };
 
-/** What the engine says it has loaded. */
+/** A version that the engine reports as loaded. */
 struct LoadedVersion
 {
     std::string version;
@@ -55,40 +55,41 @@
 using SwitchAction = std::variant<StartFetch, StopFetch, OrderLoad, OrderUnload>;
 
 /**
- * Which versions one agent fetches, loads and announces. Nothing is loaded
- * before all its chunks are verified, and nothing is announced before the
- * engine itself reports exactly it. Owned by the agent's weights service.
+ * Decides which versions an agent fetches, loads and announces. A version is loaded
+ * only after all its chunks are verified, and announced only after the engine
+ * reports it with the same manifest digest. Owned by the agent's upstream service.
  */
 class VersionSwitch
 {
 public:
     /**
-     * What the configuration wants: @p serving first, then @p spread (may be
-     * empty). A version serving before stays until its successor is loaded.
+     * Sets the configured versions: @p serving, which is fetched first, and
+     * @p preload, which is loaded beside it; both may be empty. A version that served
+     * before stays until its successor is loaded.
      */
     void setTargets(std::optional<VersionTarget> serving, std::optional<VersionTarget> preload);
 
-    /** Every chunk of @p version is here and verified against @p manifestDigest. */
+    /** All chunks of @p version are stored and verified against @p manifestDigest. */
     void markFetched(std::string_view version, std::string_view manifestDigest);
 
-    /** The engine's own report; the only source of what is loaded. */
+    /** Sets the engine's report, which is the only source of the loaded versions. */
     void setEngineReport(std::span<const LoadedVersion> loaded, Instant now);
 
-    /** The engine restarted or cannot be asked: nothing counts as loaded. */
+    /** The engine restarted or is unreachable; no version counts as loaded. */
     void clearEngineReport();
 
-    /** The answer to an order was lost or it failed; it may be given again later. */
+    /** A load or unload order has finished; one that was not accepted is retried after a delay. */
     void orderEnded(std::string_view version, bool wasAccepted, Instant now);
 
-    /** What to do now. Repeats nothing that is under way. @p mayLoad: this box's turn. */
+    /** Returns the actions to start now. @p mayLoad tells whether this box may load a version. */
     std::vector<SwitchAction> next(Instant now, bool mayLoad);
 
-    /** Versions that may serve requests: targets that the engine reports exactly. */
+    /** Versions that may serve requests: targets loaded with the expected digest. */
     std::vector<std::string> announced() const;
     bool serves(std::string_view version) const;
-    /** The version that is being fetched, if any. */
+    /** The version being fetched, if any. */
     std::optional<VersionTarget> fetching() const;
-    /** The first version that is fetched and waits only to be loaded. */
+    /** The first version that is fetched but not loaded yet. */
     std::optional<std::string> waitingToLoad() const;
     bool isWaitingToLoad() const { return waitingToLoad().has_value(); }
 
@@ -100,10 +101,9 @@
     std::optional<VersionTarget> mServingTarget;
     std::optional<VersionTarget> mPreloadTarget;
     std::optional<VersionTarget> mPreviousTarget;
-    std::map<std::string, std::string, std::less<>>
-        mVerifiedDigests; ///< version -> verified digest
+    std::map<std::string, std::string, std::less<>> mVerifiedDigests; ///< by version
     std::vector<LoadedVersion> mLoaded;
-    std::set<std::string, std::less<>> mPendingOrders; ///< orders under way
+    std::set<std::string, std::less<>> mPendingOrders; ///< versions being loaded or unloaded
     std::optional<std::string> mFetchingVersion;
     std::string mFetchingDigest;
     Instant mOrderRetryAt;
--- a/src/libloomjunction/core/weightversiontracker.cpp
+++ b/src/libloomjunction/core/weightversiontracker.cpp
@@ -14,16 +14,17 @@
 
 namespace {
 
-// A request may wait at a replica, or on a narrow link on its way, before it
-// begins, so sending stops this much earlier.
+// Sending to an old version stops this long before its cutoff, because a request
+// may be queued at the replica or delayed by a slow link before it starts.
 constexpr Milliseconds sSendMargin{1'300};
-// So long before a version is over, what is sent to it must begin in time for sure:
-// longer than requests wait at full replicas, and than the 1.6 s for which bytes
-// were seen to lie on a full link between data centres, with a wait after it.
+// This close to the cutoff, requests are sent only where they are certain to start in
+// time. The value exceeds the queueing time at saturated replicas, and the 1.6 s for
+// which data was seen to be queued on a saturated link between data centres plus a
+// queueing time after it.
 constexpr Milliseconds sNearCutoff{2'700};
-// What has not begun is given up so long before its weights are over: operators may
-// have named the newer ones 400 ms before it was heard here, and the end of the
-// connection needs up to 100 ms until the replica drops the request.
+// Requests that have not started are cancelled this long before the cutoff: the newer
+// version may have been published 400 ms before this process learned of it, and the
+// replica needs up to 100 ms after the connection closes to drop the request.
 constexpr Milliseconds sStartDeadlineMargin{500};
 
 } // namespace
@@ -39,8 +40,8 @@
 
 std::uint64_t WeightVersionTracker::newest(std::string_view model) const
 {
-    const PublishedVersion *named = find(model);
-    return named == nullptr ? 1 : named->version;
+    const PublishedVersion *published = find(model);
+    return published == nullptr ? 1 : published->version;
 }
 
 std::uint64_t WeightVersionTracker::oldestAllowed(std::string_view model, Instant now) const
@@ -49,10 +50,10 @@
     if (it == mVersionsByModel.end()) {
         return 1;
     }
-    // A version is due once it was named for long enough; all before it are over.
+    // A version replaces all older ones once its grace period, less the margin, has passed.
     std::uint64_t oldest = 1;
-    for (const auto &[version, named] : it->second) {
-        if (now >= named.learnedAt + mGracePeriod - sSendMargin) {
+    for (const auto &[version, published] : it->second) {
+        if (now >= published.learnedAt + mGracePeriod - sSendMargin) {
             oldest = version;
         }
     }
@@ -67,8 +68,9 @@
         return std::nullopt;
     }
     std::optional<Instant> earliest;
-    for (auto named = it->second.upper_bound(version); named != it->second.end(); ++named) {
-        const Instant over = named->second.learnedAt + mGracePeriod;
+    for (auto published = it->second.upper_bound(version); published != it->second.end();
+         ++published) {
+        const Instant over = published->second.learnedAt + mGracePeriod;
         earliest = std::min(earliest.value_or(over), over);
     }
     return earliest;
@@ -94,8 +96,8 @@
     if (it == mVersionsByModel.end()) {
         return {};
     }
-    const auto named = it->second.find(version);
-    return named == it->second.end() ? Instant() : named->second.learnedAt;
+    const auto published = it->second.find(version);
+    return published == it->second.end() ? Instant() : published->second.learnedAt;
 }
 
 const PublishedVersion *WeightVersionTracker::find(std::string_view model) const
--- a/src/libloomjunction/core/weightversiontracker.h
+++ b/src/libloomjunction/core/weightversiontracker.h
@@ -18,17 +18,18 @@
 
 namespace Loom {
 
-/** Version that operators named for one model, and when this process learned of it. */
+/** A version that operators published for a model, and when this process learned of it. */
 struct PublishedVersion
 {
     std::uint64_t version = 1;
-    std::uint64_t previousVersion = 0; ///< the one named before it; zero: none
+    std::uint64_t previousVersion = 0; ///< the next older published version; zero if there is none
     Instant learnedAt;
 };
 
 /**
- * Which versions of weights may still begin requests. An older one may, until
- * @p gracePeriod after a newer one was named. Owned by the configuration's service.
+ * Tracks the published versions of the weights and decides which of them may still
+ * start requests. An older version may do so until its cutoff, which lies a grace
+ * period after a newer version was published. Owned by the configuration service.
  */
 class WeightVersionTracker
 {
@@ -40,31 +41,31 @@
 
     void setGracePeriod(Milliseconds gracePeriod) { mGracePeriod = gracePeriod; }
 
-    /** @p model has @p version; @p learnedAt lies in the past for an old record. */
+    /** Records that @p version was published at @p learnedAt, which may lie in the past. */
     void name(std::string_view model, std::uint64_t version, Instant learnedAt);
-    /** The version to bring replicas to; 1 where none was named. */
+    /** The version that replicas should load; 1 if none was published. */
     std::uint64_t newest(std::string_view model) const;
-    /** The oldest version that may begin a request that is sent now. */
+    /** The oldest version that may start a request sent at @p now. */
     std::uint64_t oldestAllowed(std::string_view model, Instant now) const;
-    /** From when on @p version may begin nothing; nothing: no newer one was named. */
+    /** When @p version may no longer start requests; empty if it is the newest version. */
     std::optional<Instant> cutoffAt(std::string_view model, std::uint64_t version) const;
     /**
-     * When a request that was sent to @p version must be given up unless it has
-     * begun; nothing: no newer one was named.
+     * When a request sent to @p version must be cancelled unless it has started;
+     * empty if @p version is the newest.
      */
     std::optional<Instant> startDeadline(std::string_view model, std::uint64_t version) const;
-    /** Until then no version that is the newest @p now must be given up. */
+    /** The start deadline of a version that is the newest at @p now cannot be earlier. */
     Instant nextCheckAt(Instant now) const { return now + mGracePeriod / 2; }
-    /** It will be so soon that the way to a replica and the wait there matter. */
+    /** Whether the cutoff is so close that network latency and queueing at a replica matter. */
     bool isCutoffNear(std::string_view model, std::uint64_t version, Instant now) const;
-    /** When @p version was named; the start of time where it was not. */
+    /** When @p version was learned of; a default Instant if it is unknown. */
     Instant learnedAt(std::string_view model, std::uint64_t version) const;
-    /** The newest version named for @p model; null: none. */
+    /** The newest version published for @p model; null if there is none. */
     const PublishedVersion *find(std::string_view model) const;
 
 private:
     Milliseconds mGracePeriod;
-    /** By version: when it was learned. */
+    /** Published versions by model and version number. */
     std::map<std::string, std::map<std::uint64_t, PublishedVersion>, std::less<>> mVersionsByModel;
 };
 
--- a/src/libloomjunction/weights/chunkserver.cpp
+++ b/src/libloomjunction/weights/chunkserver.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::milliseconds sHaveKeepAliveInterval{1'000};
 constexpr std::chrono::milliseconds sRequestTimeout{5'000};
 constexpr double sSliceTimeWeight = 0.2;
-// A slice takes some 7 ms on the narrowest link that is well.
+// A slice takes about 7 ms on the slowest link without congestion.
 constexpr double sSlowSliceSeconds = 0.06;
 constexpr std::size_t sSliceBytes = std::size_t{8} * 1024;
 
@@ -48,7 +48,7 @@
         const std::size_t count = stored == nullptr ? 0 : stored->order.size();
         const bool isKeepAliveDue = now() - lastSent >= sHaveKeepAliveInterval;
         if (count < sent) {
-            stream->reset(); // dropped and begun anew: the follower must forget it all
+            stream->reset(); // the version was dropped and opened again; the peer must start over
             co_return;
         }
         if (count > sent || isKeepAliveDue) {
@@ -58,7 +58,7 @@
             }
             stream->send(update);
             lastSent = now();
-            // Chunks that come close together go out in one update.
+            // Chunks stored in quick succession are announced in one update.
             co_await sleepFor(sHaveInterval);
             continue;
         }
@@ -100,13 +100,14 @@
     return mUploadCount > 0 && mMeanSliceSeconds > sSlowSliceSeconds;
 }
 
-// Several uploads at once on a slow link only wait for each other.
+// Concurrent uploads on a slow link only delay each other.
 std::uint32_t ChunkServer::maxUploads() const
 {
     return mMeanSliceSeconds > sSlowSliceSeconds ? 1 : mMaxUploads;
 }
 
-// In slices, so that live answers on the same link never wait behind a whole chunk.
+// Chunks are sent in slices, so that live responses on the same link are never queued
+// behind a whole chunk.
 awaitable<void> ChunkServer::sendSlices(PeerStreamPtr stream, std::string_view data)
 {
     while (!data.empty() && stream->isOpen()) {
@@ -120,12 +121,12 @@
         const auto deadline = std::chrono::steady_clock::now() + sRequestTimeout;
         const Instant queued = now();
         const bool sent = co_await stream->sentBy(deadline);
-        // The next slice waits for this one, so a narrow link holds a few of
-        // them at most, and live answers little longer.
+        // The next slice is queued only after this one was sent. A slow link thus
+        // queues a few slices at most, and live responses are hardly delayed.
         const double took = std::chrono::duration<double>(now() - queued).count();
         mMeanSliceSeconds += sSliceTimeWeight * (took - mMeanSliceSeconds);
         if (!sent) {
-            stream->reset(); // it stands still: the place is for others
+            stream->reset(); // the transfer is stalled; its upload slot is freed for others
             co_return;
         }
     }
--- a/src/libloomjunction/weights/chunkserver.h
+++ b/src/libloomjunction/weights/chunkserver.h
@@ -17,25 +17,25 @@
 
 namespace Loom {
 
-/** Stream paths on which agents exchange chunks. */
+/** Stream paths for the exchange of chunks between agents. */
 inline constexpr std::string_view sHavePath = "/have";
 inline constexpr std::string_view sChunkPath = "/chunk";
 
-/** Gives other agents the chunks that this one holds, at the pace of its link. */
+/** Serves the stored chunks to other agents at a limited rate. */
 class ChunkServer
 {
 public:
-    /** @p maxUploads: chunks on their way out at once; more are told that this box is busy. */
+    /** Requests beyond @p maxUploads concurrent uploads are answered with "busy". */
     ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t maxUploads);
 
-    /** Tells which chunks of a version are here, as they come. */
+    /** Announces the stored chunks of a version, and each new one as it is stored. */
     awaitable<void> serveHave(PeerStreamPtr stream);
     /** Answers one request for a chunk or a manifest. */
     awaitable<void> serveChunk(PeerStreamPtr stream);
     void stop() { mStopped = true; }
 
     std::uint32_t uploads() const { return mUploadCount; }
-    /** Slices take long to leave: the box's link is slow. */
+    /** Whether slices take so long to send that the box's link is congested. */
     bool isSlow() const;
 
 private:
@@ -46,7 +46,7 @@
     TokenBucket &mEgress;
     std::uint32_t mMaxUploads;
     std::uint32_t mUploadCount = 0;
-    double mMeanSliceSeconds = 0; ///< smoothed, from queueing a slice to its leaving
+    double mMeanSliceSeconds = 0; ///< smoothed time from queueing a slice to sending it
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/weights/chunkstore.h
+++ b/src/libloomjunction/weights/chunkstore.h
@@ -20,34 +20,34 @@
 
 namespace Loom {
 
-/** The verified chunks of one version in this box's memory. */
+/** The verified chunks of one version in memory. */
 struct StoredVersion
 {
     Manifest manifest;
     std::string manifestText;
-    std::vector<std::string> chunks; ///< empty string: not here
+    std::vector<std::string> chunks; ///< an empty string if the chunk is missing
     std::vector<bool> has;
-    std::vector<std::uint32_t> order; ///< indexes in the order in which they came
-    std::uint64_t lastUsed = 0;
+    std::vector<std::uint32_t> order; ///< chunk indexes in the order of storing
+    std::uint64_t lastUsed = 0; ///< value of the store's use counter at the last access
 };
 
 /**
- * Chunks kept for the engine and for other agents, bounded in bytes. What is
- * not wanted any more goes first. Owned by the weights service.
+ * Keeps chunks for the engine and for other agents within a byte limit. The least
+ * recently used version is evicted first. Owned by the weights service.
  */
 class ChunkStore
 {
 public:
     ChunkStore(const asio::any_io_executor &executor, std::uint64_t maxBytes);
 
-    /** Makes room for @p manifest and keeps its text. */
+    /** Adds an empty version, evicting others if needed; returns an existing one unchanged. */
     StoredVersion &open(const std::string &digest, Manifest manifest, std::string text);
     StoredVersion *find(std::string_view digest);
-    /** Keeps a chunk that the caller has verified. */
+    /** Stores a chunk that the caller has verified. */
     void put(const std::string &digest, std::uint32_t index, std::string data);
     void drop(std::string_view digest);
     std::uint64_t bytes() const { return mBytes; }
-    /** Wakes when a chunk was added. */
+    /** Signalled when a chunk is stored or a version is dropped. */
     Signal &added() { return mAdded; }
 
 private:
--- a/src/libloomjunction/weights/weightfetch.cpp
+++ b/src/libloomjunction/weights/weightfetch.cpp
@@ -28,7 +28,7 @@
 constexpr std::chrono::milliseconds sManifestRetryDelay{50};
 constexpr std::chrono::milliseconds sManifestTurnInterval{1'000};
 constexpr std::chrono::milliseconds sManifestTimeout{5'000};
-// A neighbour that takes this many times longer than usual is given up.
+// A request to a neighbour times out after this many times the mean transfer time.
 constexpr double sChunkTimeoutFactor = 6;
 constexpr double sChunkTimeWeight = 0.1;
 constexpr std::chrono::milliseconds sMinChunkTimeout{1'000};
@@ -38,7 +38,8 @@
 constexpr std::chrono::milliseconds sPlanInterval{100};
 constexpr Milliseconds sStallTimeout{1'500};
 constexpr std::chrono::milliseconds sFollowRetryDelay{500};
-// The other side sends an empty update at least this often.
+// Limit on waiting for an update. Peers send updates more often than this, empty ones if
+// they have stored no new chunk.
 constexpr std::chrono::milliseconds sFollowTimeout{5'000};
 
 } // namespace
@@ -59,7 +60,7 @@
 
 awaitable<void> WeightFetch::run(std::shared_ptr<WeightFetch> self)
 {
-    const Instant begun = now();
+    const Instant startedAt = now();
     while (!self->mCancelled && !co_await self->fetchManifest()) {
         co_await sleepFor(sManifestRetryDelay);
     }
@@ -70,7 +71,7 @@
     if (self->mCancelled) {
         co_return;
     }
-    const auto took = std::chrono::duration_cast<Milliseconds>(now() - begun);
+    const auto took = std::chrono::duration_cast<Milliseconds>(now() - startedAt);
     logLine(LogLevel::Info, "weights-fetched",
             {{"version", self->mTarget.version},
              {"milliseconds", took.count()},
@@ -87,7 +88,7 @@
     }
     const std::string &self = mParts.self.box;
     const std::string key = "manifest/" + mTarget.manifestDigest;
-    const Instant begun = now();
+    const Instant startedAt = now();
     for (std::uint64_t round = 0; !mCancelled; ++round) {
         std::vector<std::string> boxes{self};
         for (const SwarmMember &member : mParts.members()) {
@@ -100,7 +101,7 @@
             = std::ranges::find_if(order, [&](auto index) { return boxes[index] == self; });
         const auto rank = static_cast<std::uint32_t>(own - order.begin());
         const auto turn = sManifestTurnInterval * static_cast<int>(rank / mOptions.originCopies);
-        const bool isOwnTurn = now() - begun >= turn;
+        const bool isOwnTurn = now() - startedAt >= turn;
         const std::string &askedBox = boxes[order[round % order.size()]];
         std::string text;
         if (isOwnTurn) {
@@ -150,8 +151,8 @@
 
 awaitable<PeerStreamPtr> WeightFetch::openPeer(std::string box, std::string_view path)
 {
-    std::string named(path);
-    co_return co_await mParts.open(std::move(box), std::move(named));
+    std::string pathText(path);
+    co_return co_await mParts.open(std::move(box), std::move(pathText));
 }
 
 awaitable<std::string> WeightFetch::manifestFromPeer(std::string box)
@@ -261,9 +262,9 @@
     if (peer == nullptr) {
         data = co_await self->fetchFromOrigin(fetch.index);
     } else {
-        const auto begun = self->mOpenRequestStarts.insert(std::chrono::steady_clock::now());
+        const auto openRequest = self->mOpenRequestStarts.insert(std::chrono::steady_clock::now());
         data = co_await self->fetchFromPeer(fetch.index, peer->box);
-        self->mOpenRequestStarts.erase(begun);
+        self->mOpenRequestStarts.erase(openRequest);
     }
     self->finishFetch(fetch, std::move(data));
     self->mProgressSignal.notify();
@@ -278,8 +279,8 @@
     co_return std::move(data);
 }
 
-// On a link where chunks take long, several at once only wait for each other,
-// and live requests wait behind them.
+// On a link where chunks take long, concurrent requests only delay each other and
+// the live requests queued behind them.
 std::uint32_t WeightFetch::maxPeerRequests() const
 {
     return mRecentChunkSeconds > sSlowChunkSeconds ? 1 : mOptions.maxPeerRequests;
@@ -287,12 +288,12 @@
 
 double WeightFetch::recentChunkSeconds() const
 {
-    double open = 0;
+    double oldestOpenSeconds = 0;
     if (!mOpenRequestStarts.empty()) {
         const auto age = std::chrono::steady_clock::now() - *mOpenRequestStarts.begin();
-        open = std::chrono::duration<double>(age).count();
+        oldestOpenSeconds = std::chrono::duration<double>(age).count();
     }
-    return std::max(mRecentChunkSeconds, open);
+    return std::max(mRecentChunkSeconds, oldestOpenSeconds);
 }
 
 std::chrono::milliseconds WeightFetch::chunkTimeout() const
@@ -300,9 +301,9 @@
     if (mMeanChunkSeconds <= 0) {
         return sMaxChunkTimeout;
     }
-    const auto slow = std::chrono::milliseconds(
+    const auto timeout = std::chrono::milliseconds(
         static_cast<std::int64_t>(mMeanChunkSeconds * sChunkTimeoutFactor * 1000));
-    return std::clamp(slow, sMinChunkTimeout, sMaxChunkTimeout);
+    return std::clamp(timeout, sMinChunkTimeout, sMaxChunkTimeout);
 }
 
 awaitable<tl::expected<std::string, ChunkFailure>> WeightFetch::fetchFromPeer(std::uint32_t index,
@@ -317,8 +318,8 @@
     request.set_index(index);
     stream->send(request);
     stream->finish();
-    const auto begun = std::chrono::steady_clock::now();
-    const auto deadline = begun + chunkTimeout();
+    const auto startedAt = std::chrono::steady_clock::now();
+    const auto deadline = startedAt + chunkTimeout();
     std::string data;
     while (true) {
         const auto answer = co_await stream->receiveMessage<wire::ChunkAnswer>(deadline);
@@ -328,7 +329,7 @@
             co_return tl::unexpected(isLate ? ChunkFailure::TimedOut : ChunkFailure::Gone);
         }
         if (!*answer) {
-            break; // every slice is here
+            break; // all slices were received
         }
         if (!(*answer)->found()) {
             co_return tl::unexpected((*answer)->busy() ? ChunkFailure::Busy
@@ -337,7 +338,7 @@
         data += (*answer)->data();
     }
     mParts.counts.peerBytes += data.size();
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
+    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - startedAt;
     const double weight = mMeanChunkSeconds <= 0 ? 1.0 : sChunkTimeWeight;
     mMeanChunkSeconds += weight * (took.count() - mMeanChunkSeconds);
     mRecentChunkSeconds += sRecentWeight * (took.count() - mRecentChunkSeconds);
@@ -352,8 +353,8 @@
     }
     if (data) {
         mParts.ingress.take(data->size(), now());
-        const bool isIntact = sha256Hex(*data) == stored->manifest.chunkDigests[fetch.index];
-        if (isIntact) {
+        const bool intact = sha256Hex(*data) == stored->manifest.chunkDigests[fetch.index];
+        if (intact) {
             mParts.store.put(mTarget.manifestDigest, fetch.index, std::move(*data));
             mPlan->received(fetch.index, fetch.source, now());
             return;
@@ -367,8 +368,8 @@
     mPlan->failed(fetch.index, fetch.source, data.error(), now());
 }
 
-// Neighbours that are busy or lack a chunk are asked by the dozen; a pull from the
-// origin that fails may hold up everybody.
+// Only failed pulls from the origin are logged, because one may delay all members.
+// Neighbours answer "busy" or "missing" dozens of times in a normal fetch.
 void WeightFetch::logFailure(const ChunkFetch &fetch, ChunkFailure why) const
 {
     if (std::holds_alternative<FromOrigin>(fetch.source)) {
--- a/src/libloomjunction/weights/weightfetch.h
+++ b/src/libloomjunction/weights/weightfetch.h
@@ -23,7 +23,7 @@
 
 namespace Loom {
 
-/** Bytes moved by the fetches of one agent. */
+/** Totals over all fetches of an agent. */
 struct FetchCounts
 {
     std::uint64_t originBytes = 0;
@@ -32,8 +32,8 @@
 };
 
 /**
- * One version being fetched: carries out what a ChunkPlan decides. Ends by
- * itself once complete or cancelled. Owned by the weights service.
+ * Fetches one version by sending the requests that a ChunkPlan decides on. The fetch
+ * ends once it is complete or cancelled. Owned by the weights service.
  */
 class WeightFetch : public std::enable_shared_from_this<WeightFetch>
 {
@@ -41,11 +41,11 @@
     struct Parts
     {
         SwarmMember self;
-        /** A stream to another agent; null where it cannot be reached. */
+        /** Opens a stream to another agent; returns null if it is unreachable. */
         std::function<awaitable<PeerStreamPtr>(std::string box, std::string path)> open;
-        /** The manifest's text; empty where the origin does not give it. */
+        /** Fetches the manifest's text from the origin; returns an empty string on failure. */
         std::function<awaitable<std::string>()> originManifest;
-        /** A chunk as the origin sends it, not verified yet. */
+        /** Fetches a chunk from the origin without verifying it. */
         std::function<awaitable<tl::expected<std::string, ChunkFailure>>(std::uint32_t index)>
             originChunk;
         ChunkStore &store;
@@ -57,13 +57,13 @@
 
     WeightFetch(VersionTarget target, ChunkPlan::Options options, Parts parts);
 
-    /** Runs until every chunk is in the store, or until cancel(). */
+    /** Runs until every chunk is stored, or until cancel(). */
     static awaitable<void> run(std::shared_ptr<WeightFetch> self);
     void cancel();
 
     const VersionTarget &target() const { return mTarget; }
     bool isComplete() const { return mPlan && mPlan->isComplete(); }
-    /** Time that chunks from neighbours took of late, or that one takes already. */
+    /** Recent transfer time of chunks from neighbours, or the age of the oldest open request. */
     double recentChunkSeconds() const;
     std::uint32_t storedCount() const { return mPlan ? mPlan->storedCount() : 0; }
     std::uint32_t chunkCount() const { return mPlan ? mPlan->chunkCount() : 0; }
@@ -93,10 +93,10 @@
     Parts mParts;
     std::unique_ptr<ChunkPlan> mPlan;
     std::set<std::string> mFollowedPeers;
-    double mRecentChunkSeconds = 0; ///< smoothed over the last few
-    std::multiset<std::chrono::steady_clock::time_point>
-        mOpenRequestStarts; ///< requests to neighbours
-    double mMeanChunkSeconds = 0; ///< smoothed time that a chunk from a neighbour takes
+    double mRecentChunkSeconds = 0; ///< smoothed transfer time of the last few chunks
+    /** Start times of open requests to neighbours. */
+    std::multiset<std::chrono::steady_clock::time_point> mOpenRequestStarts;
+    double mMeanChunkSeconds = 0; ///< long-term smoothed transfer time of chunks from neighbours
     Instant mStallLoggedAt;
     bool mCancelled = false;
     Signal mProgressSignal;
--- a/tests/direct/test_weightversiontracker.cpp
+++ b/tests/direct/test_weightversiontracker.cpp
@@ -19,54 +19,55 @@
 
 BOOST_AUTO_TEST_CASE(older_versions_start_no_requests_after_the_grace_period)
 {
-    WeightVersionTracker goal(Milliseconds(8'000));
-    BOOST_TEST(goal.newest("m") == 1U);
-    BOOST_TEST(goal.oldestAllowed("m", at(0)) == 1U);
-    goal.name("m", 2, at(10'000));
-    goal.name("m", 3, at(14'000));
-    BOOST_TEST(goal.newest("m") == 3U);
-    BOOST_TEST(goal.oldestAllowed("m", at(15'900)) == 1U);
-    // Stops before the bound, since a request may wait before it begins.
-    BOOST_TEST(goal.oldestAllowed("m", at(16'800)) == 2U);
-    BOOST_TEST(goal.oldestAllowed("m", at(20'800)) == 3U);
-    BOOST_TEST(goal.oldestAllowed("other", at(20'800)) == 1U);
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    BOOST_TEST(tracker.newest("m") == 1U);
+    BOOST_TEST(tracker.oldestAllowed("m", at(0)) == 1U);
+    tracker.name("m", 2, at(10'000));
+    tracker.name("m", 3, at(14'000));
+    BOOST_TEST(tracker.newest("m") == 3U);
+    BOOST_TEST(tracker.oldestAllowed("m", at(15'900)) == 1U);
+    // Sending stops before the cutoff, because a request may be queued before it starts.
+    BOOST_TEST(tracker.oldestAllowed("m", at(16'800)) == 2U);
+    BOOST_TEST(tracker.oldestAllowed("m", at(20'800)) == 3U);
+    BOOST_TEST(tracker.oldestAllowed("other", at(20'800)) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(the_cutoff_is_set_by_the_first_newer_version)
 {
-    WeightVersionTracker goal(Milliseconds(8'000));
-    BOOST_TEST(!goal.cutoffAt("m", 1).has_value());
-    goal.name("m", 2, at(10'000));
-    goal.name("m", 3, at(14'000));
-    BOOST_TEST((goal.cutoffAt("m", 1) == at(18'000)));
-    BOOST_TEST((goal.cutoffAt("m", 2) == at(22'000)));
-    BOOST_TEST(!goal.cutoffAt("m", 3).has_value());
-    BOOST_TEST(!goal.cutoffAt("other", 1).has_value());
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    BOOST_TEST(!tracker.cutoffAt("m", 1).has_value());
+    tracker.name("m", 2, at(10'000));
+    tracker.name("m", 3, at(14'000));
+    BOOST_TEST((tracker.cutoffAt("m", 1) == at(18'000)));
+    BOOST_TEST((tracker.cutoffAt("m", 2) == at(22'000)));
+    BOOST_TEST(!tracker.cutoffAt("m", 3).has_value());
+    BOOST_TEST(!tracker.cutoffAt("other", 1).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(the_start_deadline_lies_between_the_last_send_and_the_cutoff)
 {
-    WeightVersionTracker goal(Milliseconds(8'000));
-    goal.name("m", 2, at(10'000));
-    BOOST_REQUIRE(goal.startDeadline("m", 1).has_value());
-    const Instant giveUp = *goal.startDeadline("m", 1);
-    // What was sent last still has some time to begin.
-    BOOST_TEST((goal.oldestAllowed("m", giveUp - Milliseconds(500)) == 2U));
-    // It may have been named 400 ms before it was heard here.
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    tracker.name("m", 2, at(10'000));
+    BOOST_REQUIRE(tracker.startDeadline("m", 1).has_value());
+    const Instant giveUp = *tracker.startDeadline("m", 1);
+    // The requests that were sent last still have some time to start.
+    BOOST_TEST((tracker.oldestAllowed("m", giveUp - Milliseconds(500)) == 2U));
+    // The newer version may have been published 400 ms before this process learned of it.
     BOOST_TEST((giveUp + Milliseconds(500) <= at(18'000)));
-    // The newest may get a newer one at any time, and is looked at before that is due.
-    BOOST_TEST(!goal.startDeadline("m", 2).has_value());
-    const Instant look = goal.nextCheckAt(at(20'000));
-    goal.name("m", 3, at(20'000));
-    BOOST_TEST((look < *goal.startDeadline("m", 2)));
+    // A newer version may be published at any time; the next check precedes the start
+    // deadline that it would set.
+    BOOST_TEST(!tracker.startDeadline("m", 2).has_value());
+    const Instant look = tracker.nextCheckAt(at(20'000));
+    tracker.name("m", 3, at(20'000));
+    BOOST_TEST((look < *tracker.startDeadline("m", 2)));
 }
 
 BOOST_AUTO_TEST_CASE(a_version_learned_twice_keeps_its_first_time)
 {
-    WeightVersionTracker goal(Milliseconds(8'000));
-    goal.name("m", 2, at(1'000));
-    goal.name("m", 2, at(9'000));
-    BOOST_TEST((goal.learnedAt("m", 2) == at(1'000)));
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    tracker.name("m", 2, at(1'000));
+    tracker.name("m", 2, at(9'000));
+    BOOST_TEST((tracker.learnedAt("m", 2) == at(1'000)));
 }
 
 BOOST_AUTO_TEST_CASE(reload_turns_are_spread_and_end_before_the_cutoff)
@@ -84,7 +85,7 @@
         moments.insert(moment);
     }
     BOOST_TEST(moments.size() == boxes.size());
-    // A box that does not see itself among the members still has a turn.
+    // A box that is missing from the list of members still has a turn.
     BOOST_TEST((turn.at("m@2", "new", boxes, at(0), at(0)) <= at(6'400)));
     BOOST_TEST((turn.at("m@2", "alone", {}, at(0), at(0)) <= at(6'400)));
 }
@@ -106,6 +107,6 @@
     for (const auto &[tenth, count] : inEachTenth) {
         BOOST_TEST(count <= 2);
     }
-    // Weights that come after the last turn are loaded at once.
+    // Weights that are complete after the last turn are loaded at once.
     BOOST_TEST((turn.at("m@2", "box-3", boxes, at(0), at(7'000)) <= at(7'000)));
 }
--- a/tests/lostowners/test_lostowners.cpp
+++ b/tests/lostowners/test_lostowners.cpp
@@ -14,9 +14,10 @@
 
 using namespace Loom;
 
-// Some boxes are killed while the last chunks leave the origin, which dies soon after.
-// Two chunks had left with their owners, and everybody waited for the origin's return:
-//   fetch-stalled version=2 have=46 unheld=2 owner=(a box that had been killed)
+// Guards against a stall after owners are killed while the origin sends the last chunks,
+// shortly before it fails itself. Two chunks were lost with their owners, and all members
+// waited for the origin's return:
+//   fetch-stalled version=2 have=46 unheld=2 owner=(a killed box)
 BOOST_AUTO_TEST_CASE(chunks_of_killed_owners_are_taken_over_before_the_origin_fails)
 {
     for (const int killedAtMs : {1'450, 1'600, 1'700}) {
--- a/tests/weights/swarmsimulator.cpp
+++ b/tests/weights/swarmsimulator.cpp
@@ -23,11 +23,11 @@
 SwarmSimulator::SwarmSimulator(Scenario scenario, const ChunkPlan::Options &options)
     : mScenario(std::move(scenario))
 {
-    ChunkPlan::Options own = options;
+    ChunkPlan::Options memberOptions = options;
     for (std::size_t member = 0; member < mScenario.members.size(); ++member) {
-        ++own.seed;
-        mPlans.emplace_back("digest", mScenario.chunkCount, mScenario.members[member], own,
-                            at(startOf(member)));
+        ++memberOptions.seed;
+        mPlans.emplace_back("digest", mScenario.chunkCount, mScenario.members[member],
+                            memberOptions, at(startOf(member)));
         mPlans.back().setMembers(mScenario.members);
     }
 }
@@ -56,7 +56,7 @@
     return mScenario.killed.contains(mScenario.members[member].box);
 }
 
-// Their connections end: what they sent is lost, and what they held.
+// The connections of the killed members end: their transfers and their chunks are lost.
 void SwarmSimulator::killMembers(int time)
 {
     if (mIsKillDone || time < mScenario.killedAtMs) {
@@ -68,21 +68,25 @@
             plan.clearPeerChunks(box);
         }
     }
-    const auto isOfDead
+    const auto isOfKilled
         = [&](std::size_t member) { return member < mScenario.members.size() && isKilled(member); };
-    for (const Transfer &one : mTransfers) {
-        if (isOfDead(one.from) && !isOfDead(one.to)) {
-            mPlans[one.to].failed(one.fetch.index, one.fetch.source, ChunkFailure::Gone, at(time));
+    for (const Transfer &transfer : mTransfers) {
+        if (isOfKilled(transfer.from) && !isOfKilled(transfer.to)) {
+            mPlans[transfer.to].failed(transfer.fetch.index, transfer.fetch.source,
+                                       ChunkFailure::Gone, at(time));
         }
     }
-    std::erase_if(mTransfers,
-                  [&](const Transfer &one) { return isOfDead(one.from) || isOfDead(one.to); });
-    std::erase_if(mAnnouncements, [&](const Announcement &news) { return isOfDead(news.holder); });
+    std::erase_if(mTransfers, [&](const Transfer &transfer) {
+        return isOfKilled(transfer.from) || isOfKilled(transfer.to);
+    });
+    std::erase_if(mAnnouncements, [&](const Announcement &announcement) {
+        return isOfKilled(announcement.holder);
+    });
 }
 
 int SwarmSimulator::startOf(std::size_t member) const
 {
-    // Neighbours in the list do not begin together.
+    // Adjacent members in the list do not start together.
     const std::size_t place = member * 7 % mScenario.members.size();
     return mScenario.maxStartDelayMs * static_cast<int>(place)
         / static_cast<int>(mScenario.members.size());
@@ -117,10 +121,12 @@
 
 void SwarmSimulator::failOriginPulls(int time)
 {
-    const auto isPull = [&](const Transfer &one) { return one.from == mScenario.members.size(); };
-    for (const Transfer &one : mTransfers) {
-        if (isPull(one)) {
-            mPlans[one.to].failed(one.fetch.index, one.fetch.source, ChunkFailure::Gone, at(time));
+    const auto isPull
+        = [&](const Transfer &transfer) { return transfer.from == mScenario.members.size(); };
+    for (const Transfer &transfer : mTransfers) {
+        if (isPull(transfer)) {
+            mPlans[transfer.to].failed(transfer.fetch.index, transfer.fetch.source,
+                                       ChunkFailure::Gone, at(time));
         }
     }
     std::erase_if(mTransfers, isPull);
@@ -128,28 +134,30 @@
 
 void SwarmSimulator::advanceTransfers(int time)
 {
-    std::vector<double> up(mScenario.members.size() + 1);
-    std::vector<double> down(mScenario.members.size());
-    for (const Transfer &one : mTransfers) {
-        ++up[one.from];
-        ++down[one.to];
+    std::vector<double> uploadCounts(mScenario.members.size() + 1);
+    std::vector<double> downloadCounts(mScenario.members.size());
+    for (const Transfer &transfer : mTransfers) {
+        ++uploadCounts[transfer.from];
+        ++downloadCounts[transfer.to];
     }
     const bool isBack = mScenario.originReturnsMs >= 0 && time >= mScenario.originReturnsMs;
     if (mScenario.originFailsMs >= 0 && time >= mScenario.originFailsMs && !isBack) {
         failOriginPulls(time);
     }
-    for (Transfer &one : mTransfers) {
-        const bool isOrigin = one.from == mScenario.members.size();
+    for (Transfer &transfer : mTransfers) {
+        const bool isOrigin = transfer.from == mScenario.members.size();
         const double sending
-            = (isOrigin ? mScenario.originRate : mScenario.linkRate) / up[one.from];
-        one.remainingBytes -= std::min(sending, mScenario.linkRate / down[one.to]) * sStepMs;
+            = (isOrigin ? mScenario.originRate : mScenario.linkRate) / uploadCounts[transfer.from];
+        transfer.remainingBytes
+            -= std::min(sending, mScenario.linkRate / downloadCounts[transfer.to]) * sStepMs;
     }
-    for (const Transfer &one : mTransfers) {
-        if (one.remainingBytes <= 0) {
-            deliver(one, time);
+    for (const Transfer &transfer : mTransfers) {
+        if (transfer.remainingBytes <= 0) {
+            deliver(transfer, time);
         }
     }
-    std::erase_if(mTransfers, [](const Transfer &one) { return one.remainingBytes <= 0; });
+    std::erase_if(mTransfers,
+                  [](const Transfer &transfer) { return transfer.remainingBytes <= 0; });
 }
 
 void SwarmSimulator::deliver(const Transfer &done, int time)
@@ -165,16 +173,17 @@
 
 void SwarmSimulator::deliverAnnouncements(int time)
 {
-    for (const Announcement &news : mAnnouncements) {
-        if (news.dueMs > time) {
+    for (const Announcement &announcement : mAnnouncements) {
+        if (announcement.dueMs > time) {
             continue;
         }
-        const std::string &holder = mScenario.members[news.holder].box;
+        const std::string &holder = mScenario.members[announcement.holder].box;
         for (ChunkPlan &plan : mPlans) {
-            plan.addPeerChunk(holder, news.index, at(time));
+            plan.addPeerChunk(holder, announcement.index, at(time));
         }
     }
-    std::erase_if(mAnnouncements, [&](const Announcement &news) { return news.dueMs <= time; });
+    std::erase_if(mAnnouncements,
+                  [&](const Announcement &announcement) { return announcement.dueMs <= time; });
 }
 
 void SwarmSimulator::countComplete(Result &result, int time) const
--- a/tests/weights/swarmsimulator.h
+++ b/tests/weights/swarmsimulator.h
@@ -18,13 +18,13 @@
 namespace Loom {
 
 /**
- * Many chunk plans in virtual time, over links whose bandwidth their transfers
- * share. Owned by one test.
+ * Simulates the chunk plans of many members in virtual time. Concurrent transfers
+ * share the bandwidth of their links. Owned by one test.
  */
 class SwarmSimulator
 {
 public:
-    /** The deployment; rates in bytes a millisecond. */
+    /** The simulated deployment and its faults; rates are in bytes per millisecond. */
     struct Scenario
     {
         std::vector<SwarmMember> members;
@@ -32,27 +32,27 @@
         double chunkBytes = 49'152;
         double linkRate = 1'175; ///< 9.4 Mbit/s
         double originRate = 1'875; ///< 15 Mbit/s
-        std::uint32_t maxUploads = 3; ///< at one member, before others are told to come back
-        std::set<std::string> killed; ///< listed as members, but silent
-        int killedAtMs = 0; ///< and before it as alive as the others
-        int originFailsMs = -1; ///< from then on it gives nothing; below zero: never
-        int originReturnsMs = -1; ///< and from then on again; below zero: never
-        int maxStartDelayMs = 0; ///< members begin at moments spread evenly up to this one
-        int announceDelayMs = 15; ///< until neighbours hear of a chunk
+        std::uint32_t maxUploads = 3; ///< per member; further requests get "busy"
+        std::set<std::string> killed; ///< members that fail; they stay in the list of members
+        int killedAtMs = 0; ///< time of their failure
+        int originFailsMs = -1; ///< time of the origin's failure; negative: never
+        int originReturnsMs = -1; ///< time of the origin's return; negative: never
+        int maxStartDelayMs = 0; ///< starts are spread evenly up to this time
+        int announceDelayMs = 15; ///< time until neighbours learn of a chunk
     };
 
-    /** What a play came to. Times in milliseconds; negative: not within the limit. */
+    /** The outcome of a run. Times are in milliseconds; negative: not within the limit. */
     struct Result
     {
-        int firstCompleteMs = -1; ///< the first member that had all
-        int allCompleteMs = -1; ///< every living member had all
+        int firstCompleteMs = -1; ///< time when the first member was complete
+        int allCompleteMs = -1; ///< time when every live member was complete
         std::uint32_t originChunks = 0;
-        std::uint32_t crossDataCentreChunks = 0; ///< sent from one data centre to another
+        std::uint32_t crossDataCentreChunks = 0; ///< chunks sent between data centres
     };
 
     SwarmSimulator(Scenario scenario, const ChunkPlan::Options &options);
 
-    /** Plays until all is everywhere, or until @p limitMs. */
+    /** Runs until every live member is complete, or until @p limitMs. */
     Result run(int limitMs);
 
 private:
@@ -60,8 +60,8 @@
     {
         std::size_t to = 0;
         ChunkFetch fetch;
-        std::size_t from = 0; ///< beyond the members: the origin
-        double remainingBytes = 0; ///< bytes
+        std::size_t from = 0; ///< index of the sender; the number of members stands for the origin
+        double remainingBytes = 0;
     };
     struct Announcement
     {
@@ -86,7 +86,7 @@
     std::vector<Transfer> mTransfers;
     std::vector<Announcement> mAnnouncements;
     Result mCounts;
-    bool mIsKillDone = false; ///< the dead have died
+    bool mIsKillDone = false; ///< the members in Scenario::killed have failed
 };
 
 } // namespace Loom
--- a/tests/weights/test_adaptivetransferrate.cpp
+++ b/tests/weights/test_adaptivetransferrate.cpp
@@ -26,7 +26,7 @@
     for (int step = 0; step < 20; ++step) {
         rate.rate(at(2'000 + step * 200));
     }
-    // It keeps a floor, or a rollout under load would never end.
+    // The rate keeps a lower bound, because a rollout under load would never end otherwise.
     BOOST_TEST(rate.rate(at(7'000)) == 1'000'000 * AdaptiveTransferRate::sMinRateFraction,
                boost::test_tools::tolerance(1e-9));
     for (int i = 0; i < 100; ++i) {
--- a/tests/weights/test_chunkplan.cpp
+++ b/tests/weights/test_chunkplan.cpp
@@ -32,7 +32,7 @@
     return members;
 }
 
-/** Chunks that box @p name pulls from the origin when nobody else exists for it. */
+/** Chunks that @p self pulls from the origin as their owner. */
 std::set<std::uint32_t> originChunksOf(const SwarmMember &self,
                                        const std::vector<SwarmMember> &members,
                                        std::uint32_t copies)
@@ -96,13 +96,13 @@
 
 BOOST_AUTO_TEST_CASE(chunks_of_dead_owners_are_taken_over_independently)
 {
-    // Six of twenty members are dead. Chunks take their time, and each that turns
-    // up must not put off those that are late already.
+    // Six of twenty members are dead. A chunk that becomes available must not postpone
+    // the takeover of chunks that are overdue already.
     const auto members = swarm(20);
     constexpr std::size_t dead = 6;
     constexpr int stepMs = 20;
     constexpr int chunkMs = 100;
-    constexpr int takenOverMs = 2'000; // 8 s where each one puts off the rest
+    constexpr int takenOverMs = 2'000; // 8 s if each available chunk postpones the others
     ChunkPlan::Options options;
     options.maxTakeoverDelay = Milliseconds(2'000);
     std::vector<ChunkPlan> plans;
@@ -173,7 +173,7 @@
         for (const ChunkFetch &fetch : plan.next(at(10))) {
             BOOST_TEST(imported.insert(fetch.index).second);
         }
-        // The other one may be dead: what it does not bring is fetched later.
+        // The other member may be dead; the chunks that it should import are fetched later.
         BOOST_TEST(plan.next(at(0) + options.maxTakeoverDelay * 2).size() > 0U);
     }
     BOOST_TEST(imported.size() == sChunks);
@@ -192,7 +192,7 @@
         plan.addPeerChunk("box-1", index, at(0));
         plan.addPeerChunk("box-2", index, at(0));
     }
-    plan.addPeerChunk("box-3", 7, at(0)); // no rarer than the others now, but held by three
+    plan.addPeerChunk("box-3", 7, at(0)); // held by three neighbours, the others by two
     const auto asked = plan.next(at(0));
     BOOST_TEST(asked.size() == 3u);
     BOOST_TEST(std::ranges::none_of(asked, [](const ChunkFetch &f) { return f.index == 7; }));
@@ -269,7 +269,8 @@
 
 BOOST_AUTO_TEST_CASE(a_chunk_held_only_by_a_slow_peer_is_pulled_from_the_origin)
 {
-    // All but one chunk are here. Its holder has been asked, and does not bring it.
+    // All chunks but one are stored. The missing one was requested from its only holder,
+    // which does not send it.
     const auto members = swarm(4);
     ChunkPlan::Options options;
     options.maxOriginRequests = 1;
@@ -282,14 +283,15 @@
         }
         plan.addPeerChunk(members[0].box, 0, at(1'000));
         for (const ChunkFetch &fetch : plan.next(at(1'000))) {
-            BOOST_TEST(fetch.index == 0U); // asked of its holder, or owned
+            // The chunk is requested from its holder, or from the origin by its owner.
+            BOOST_TEST(fetch.index == 0U);
         }
         BOOST_TEST(plan.next(at(1'100)).empty());
         for (const ChunkFetch &fetch : plan.next(at(4'000))) {
             BOOST_TEST(std::holds_alternative<FromOrigin>(fetch.source));
             ++pulls;
         }
-        // It came from both: it counts once.
+        // The chunk may come from both sources, but counts once.
         plan.received(0, FromOrigin{}, at(4'050));
         BOOST_TEST(plan.isComplete());
         BOOST_TEST(plan.next(at(9'000)).empty());
@@ -300,7 +302,7 @@
 
 BOOST_AUTO_TEST_CASE(chunks_of_an_owner_without_origin_access_are_taken_over_early)
 {
-    // The first member cannot reach the origin; the others brought their shares.
+    // The first member cannot reach the origin; the others have pulled their chunks.
     const auto members = swarm(5);
     constexpr std::size_t cutOff = 0;
     ChunkPlan::Options options;
@@ -327,7 +329,7 @@
             }
         }
         BOOST_TEST(plans[self].next(at(1'050)).empty());
-        // Long before the takeover of four seconds.
+        // The takeover comes well before the default maxTakeoverDelay of 4 s.
         for (const ChunkFetch &fetch : plans[self].next(at(2'300))) {
             pulled.insert(fetch.index);
         }
@@ -357,11 +359,12 @@
     BOOST_TEST(tries <= 16);
 }
 
-// Two versions are named while the store is away. All agents hear of the second one
-// together, 6 s late, when every turn had passed: all pulled at once, and had nothing to
-// pass on until the origin had sent nearly everything:
-//   weights-named   version=3 (all boxes, 26.0 to 26.5 s; named at 20.0 s)
-//   weights-fetched version=3 (first at 31.0 s; a copy takes 2.1 s out of the origin)
+// Guards against simultaneous pulls after an outage of the store. Two versions were
+// published during the outage, and all agents learned of the second one 6 s late, when
+// every turn had passed. They pulled at once and had nothing to forward until the origin
+// had sent nearly all chunks:
+//   weights-named   version=3 (all boxes, 26.0 to 26.5 s; published at 20.0 s)
+//   weights-fetched version=3 (first at 31.0 s; the origin sends a copy in 2.1 s)
 BOOST_AUTO_TEST_CASE(origin_pulls_of_a_version_learned_late_are_staggered)
 {
     constexpr std::uint32_t chunks = 48;
@@ -372,7 +375,7 @@
     ChunkPlan late("digest", chunks, {"box", "dc"}, options, at(10'000));
     BOOST_TEST(late.next(at(10'000)).size() == 1U);
     BOOST_TEST(late.next(at(10'000 + 37 * 10)).size() == 10U);
-    // Not all turns had passed: those that had are made up for.
+    // If only some turns have passed, those chunks are pulled at once.
     ChunkPlan sooner("digest", chunks, {"box", "dc"}, options, at(1'370));
     BOOST_TEST(sooner.next(at(1'370)).size() == 11U);
 }
--- a/tests/weights/test_swarm.cpp
+++ b/tests/weights/test_swarm.cpp
@@ -35,7 +35,7 @@
     return options;
 }
 
-/** What the origin and a narrow link need for one copy, one after the other. */
+/** Time for one copy over the origin's link and then over a member's link. */
 int copyTimeMs(const SwarmSimulator::Scenario &scenario)
 {
     const double bytes = scenario.chunkCount * scenario.chunkBytes;
@@ -59,7 +59,7 @@
     report(result);
     BOOST_TEST(result.allCompleteMs > 0);
     BOOST_TEST(result.allCompleteMs <= copyTimeMs(scenario) * 3 / 2);
-    // A few are asked for twice, when they come late.
+    // A few late chunks are pulled twice.
     BOOST_TEST(result.originChunks <= scenario.chunkCount * 5 / 4);
     BOOST_TEST(result.crossDataCentreChunks <= scenario.chunkCount * 5);
 }
@@ -77,7 +77,7 @@
     BOOST_TEST(result.allCompleteMs <= copyTimeMs(scenario) * 3);
 }
 
-// Replays one new version for hundreds of boxes.
+// Compares simultaneous and staggered pulls of a new version by hundreds of boxes.
 BOOST_AUTO_TEST_CASE(staggered_origin_pulls_shorten_the_distribution)
 {
     const SwarmSimulator::Scenario scenario = deployment(204, 5);
@@ -96,8 +96,8 @@
     BOOST_TEST(staggered.crossDataCentreChunks <= scenario.chunkCount * 6);
 }
 
-// Boxes hear of a version up to 0.8 s after each other, and the origin dies 2.15 s
-// after its naming; it needs 1.7 s for a copy.
+// Boxes learn of a version up to 0.8 s apart, and the origin fails 2.15 s after it was
+// published. The origin needs 1.7 s to send a copy.
 BOOST_AUTO_TEST_CASE(every_chunk_is_pulled_before_the_origin_fails_despite_late_starts)
 {
     SwarmSimulator::Scenario scenario = deployment(76, 3);
@@ -120,9 +120,10 @@
     BOOST_TEST(result.allCompleteMs < 6'000);
 }
 
-// Two versions two seconds apart, the origin away from half a second after the second
-// one for six seconds. All owners asked again within 0.4 s of its return, others with
-// them, and everything arrived at one late moment:
+// Guards against simultaneous pulls after the return of the origin. Two versions were
+// published two seconds apart, and the origin was unavailable for six seconds, starting
+// half a second after the second one. All owners and other members retried within 0.4 s
+// of its return, and all chunks arrived late and together:
 //   origin-pull-failed version=3 why=gone (1,930 lines)
 //   weights-fetched    version=3 (76 boxes within 0.2 s, 5.5 s after the return)
 BOOST_AUTO_TEST_CASE(pulls_are_staggered_after_the_origin_returns)
