--- a/src/libloomjunction/gateway/feedservice.cpp
+++ b/src/libloomjunction/gateway/feedservice.cpp
@@ -745,7 +745,7 @@
     update.set_store_doubtful(isDoubtful(feed));
 }
 
-// Announcement first, so that the answers stand for all that is known here; false when nothing
+// News first, so that the answers stand for all that is known here; false when nothing
 // is known that could be told.
 bool FeedService::tell(Follower &follower)
 {
--- a/src/libloomjunction/gateway/manifestexchange.cpp
+++ b/src/libloomjunction/gateway/manifestexchange.cpp
@@ -27,11 +27,13 @@
 
 constexpr std::string_view sManifestPath = "/manifest";
 constexpr std::chrono::milliseconds sPeerTimeout{500};
-// Boxes that ask the origin for a manifest at once, so that one may be dead.
+// Number of boxes that fetch a manifest from the origin at once; one of them may be down.
 constexpr std::size_t sOriginReaderCount = 3;
-// Boxes asked at once by one that found neither those nor the origin.
+// Number of random peers that a box queries at once if neither the origin nor its readers
+// provide the manifest.
 constexpr std::ptrdiff_t sSampleSize = 8;
-// Others ask the origin themselves after this time; asking takes some milliseconds.
+// After this time the other boxes query the origin themselves. A peer query takes a few
+// milliseconds.
 constexpr Milliseconds sOriginFallbackDelay{600};
 constexpr Milliseconds sRetryDelay{40};
 
@@ -48,17 +50,17 @@
 
 } // namespace
 
-/** One manifest that several boxes are asked for at once. */
+/** A query for one manifest that is sent to several peers at once. */
 struct ManifestExchange::PeerQuery
 {
     explicit PeerQuery(const asio::any_io_executor &executor)
-        : changed(executor)
+        : progress(executor)
     {
     }
 
-    Signal changed;
-    std::string text; ///< of the first that has it
-    std::size_t open = 0; ///< boxes that have not answered
+    Signal progress;
+    std::string text; ///< the manifest of the first peer that has it
+    std::size_t openCount = 0; ///< number of peers that have not answered
 };
 
 ManifestExchange::ManifestExchange(Parts parts)
@@ -68,45 +70,46 @@
                      [this](PeerStreamPtr stream) { return serveManifest(std::move(stream)); });
 }
 
-// A few boxes ask the origin, whose connections are few; the others ask those
-// boxes, and the origin only if none has it after a while.
+// Only a few boxes query the origin, which has few connections. The others query these
+// boxes, and the origin only if none of them has the manifest after a while.
 awaitable<tl::expected<std::string, std::string>>
 ManifestExchange::fetchManifest(std::string model, std::uint64_t version)
 {
     const std::vector<Member> originReaders = this->originReaders(model, version);
     const bool isOriginReader = std::ranges::any_of(
         originReaders, [&](const Member &member) { return member.box == mParts.settings.box; });
-    const Instant until = now() + (isOriginReader ? Milliseconds(0) : sOriginFallbackDelay);
-    while (now() < until && !mStopped) {
+    const Instant fallbackAt = now() + (isOriginReader ? Milliseconds(0) : sOriginFallbackDelay);
+    while (now() < fallbackAt && !mStopped) {
         std::string text = co_await fetchFromPeers(model, version, originReaders);
         if (!text.empty()) {
             co_return std::move(text);
         }
         co_await sleepFor(sRetryDelay);
     }
-    std::string problem = "no origin is configured";
+    std::string error = "no origin is configured";
     if (const auto address = mParts.origin()) {
         const auto manifest = co_await mParts.engine.manifest(*address, model, version);
         if (manifest) {
             co_return manifest->text();
         }
-        problem = manifest.error();
+        error = manifest.error();
     }
     std::string text = co_await fetchFromPeers(model, version, sampleStagers());
     if (!text.empty()) {
         co_return std::move(text);
     }
-    co_return tl::unexpected(std::move(problem));
+    co_return tl::unexpected(std::move(error));
 }
 
-// A few at random: with hundreds, asking all would cost more than it finds.
+// A random sample is enough: querying all of hundreds of agents would cost more than it
+// would find.
 std::vector<Member> ManifestExchange::sampleStagers() const
 {
     const std::vector<Member> all = mParts.members.stagersOf(mParts.service);
-    std::vector<Member> some;
+    std::vector<Member> sample;
     static std::mt19937_64 random{randomSeed()};
-    std::ranges::sample(all, std::back_inserter(some), sSampleSize, random);
-    return some;
+    std::ranges::sample(all, std::back_inserter(sample), sSampleSize, random);
+    return sample;
 }
 
 std::vector<Member> ManifestExchange::originReaders(const std::string &model,
@@ -130,21 +133,22 @@
     return chosen;
 }
 
-// Asks all @p peers at once: one that is dead or behind a slow link would hold the
-// fetch up for longer than the origin needs for a third of the chunks.
+// All @p peers are queried at once. If they were queried one by one, a peer that is down
+// or has a slow link would delay the fetch for longer than the origin needs to send a
+// third of the chunks.
 awaitable<std::string> ManifestExchange::fetchFromPeers(std::string model, std::uint64_t version,
                                                         std::vector<Member> peers)
 {
     auto query = std::make_shared<PeerQuery>(mParts.executor);
     for (const Member &member : peers) {
         if (member.box != mParts.settings.box) {
-            ++query->open;
+            ++query->openCount;
             asio::co_spawn(mParts.executor, queryPeer(query, member.peers, model, version),
                            asio::detached);
         }
     }
-    while (query->open > 0 && query->text.empty()) {
-        co_await query->changed.waitFor(sPeerTimeout);
+    while (query->openCount > 0 && query->text.empty()) {
+        co_await query->progress.waitFor(sPeerTimeout);
     }
     co_return query->text;
 }
@@ -165,8 +169,8 @@
             query->text = (*answer)->text();
         }
     }
-    --query->open;
-    query->changed.notify();
+    --query->openCount;
+    query->progress.notify();
 }
 
 awaitable<std::string> ManifestExchange::fetchOldestNeeded(std::string model)
--- a/src/libloomjunction/gateway/manifestexchange.h
+++ b/src/libloomjunction/gateway/manifestexchange.h
@@ -24,14 +24,14 @@
 class PeerHub;
 
 /**
- * Gets the manifests of versions from the origin and from other agents, and gives
- * them those that are here. The origin has fewer connections than there are agents.
- * Owned by the stage service.
+ * Fetches the manifests of versions from the origin or from other agents, and serves
+ * the local ones to other agents, because the origin accepts fewer connections than
+ * there are agents. Owned by the weight staging service.
  */
 class ManifestExchange
 {
 public:
-    /** Asks for the oldest version that a box still has to do with. */
+    /** Version number in a request for the oldest version that the peer still fetches. */
     static constexpr std::uint64_t sOldestNeeded = 0;
 
     struct Parts
@@ -43,7 +43,7 @@
         const DirectSettings &settings;
         std::string service;
         std::function<std::optional<Tcp::endpoint>()> origin;
-        /** The text of a manifest that is here; null: it is not. */
+        /** Returns the text of a local manifest; null if there is none. */
         std::function<const std::string *(std::string_view model, std::uint64_t version)>
             localManifest;
     };
@@ -51,10 +51,10 @@
     explicit ManifestExchange(Parts parts);
 
     void stop() { mStopped = true; }
-    /** The manifest of @p version; the error says what the origin answered. */
+    /** Fetches the text of a manifest; the error describes the origin's failure. */
     awaitable<tl::expected<std::string, std::string>> fetchManifest(std::string model,
                                                                     std::uint64_t version);
-    /** The manifest of the oldest version that some other agent has to do with, or nothing. */
+    /** Fetches the manifest of an older version that peers still fetch; empty if none does. */
     awaitable<std::string> fetchOldestNeeded(std::string model);
 
 private:
--- a/src/libloomjunction/gateway/quarantineservice.cpp
+++ b/src/libloomjunction/gateway/quarantineservice.cpp
@@ -35,7 +35,7 @@
 constexpr Milliseconds sLookHolds{100};
 constexpr Milliseconds sLooksKept{60'000};
 constexpr std::chrono::seconds sSweepEvery{5};
-// Announcement in one message of a gateway's state, some 100 bytes each.
+// News in one message of a gateway's state, some 100 bytes each.
 constexpr std::size_t sMostNews = 64;
 // Whoever refuses a request by what others told writes only if nobody did by then.
 constexpr Milliseconds sOthersWrite{1'000};
--- a/src/libloomjunction/gateway/weightstagingservice.cpp
+++ b/src/libloomjunction/gateway/weightstagingservice.cpp
@@ -28,42 +28,44 @@
 
 namespace {
 
-// The engine is on this box; asking it costs a fraction of a millisecond.
+// The engine runs on this box, so polling it costs a fraction of a millisecond.
 constexpr Milliseconds sEnginePollInterval{50};
-// With nothing to load; gateways that ask have it looked at as they come.
+// Used while there is nothing to load. Load queries from gateways poll the engine as well.
 constexpr Milliseconds sIdleEnginePollInterval{250};
 constexpr Milliseconds sRolloutInterval{50};
 constexpr Milliseconds sRetryDelay{200};
-// The members' feed is read within some dozens of milliseconds after the start.
+// The feed of members is read within some tens of milliseconds after the start.
 constexpr Milliseconds sMembersTimeout{600};
 constexpr Milliseconds sMembersPollInterval{50};
-// Gateways must have heard that the replica takes nothing before it is ordered to load.
+// Gateways must learn that the replica accepts no requests before the load is ordered.
 constexpr Milliseconds sLoadReportDelay{30};
-// For what waits at the engine when its turn comes; what still waits then goes elsewhere.
+// Limit on waiting for the engine's queue to empty before the load is ordered. Requests
+// that are still queued then are sent to other replicas.
 constexpr Milliseconds sQueueDrainTimeout{700};
-// An order that got no answer and shows no effect for so long was not taken.
+// An order without an answer and without a visible effect for this long was not accepted.
 constexpr Milliseconds sOrderTimeout{1'500};
 constexpr std::uint64_t sStoreBytes = std::uint64_t{48} * 1024 * 1024;
-// Live answers share the link with these: few at once keep its queue short.
+// Live responses share the link with uploads; few concurrent uploads keep its queue short.
 constexpr std::uint32_t sMaxUploads = 3;
-// Of the link, for chunks on their way out; the rest is for answers to callers.
+// Fraction of the link for uploads of chunks; the rest is for responses to callers.
 constexpr double sChunkLinkFraction = 0.95;
 constexpr double sBytesPerMbit = 125'000;
 constexpr double sBurstBytes = 8.0 * 1024;
 constexpr std::uint32_t sMaxOriginRequests = 1;
-// From the naming of a version until most have its manifest.
+// Time from the publication of a version until most agents have its manifest.
 constexpr Milliseconds sManifestDelay{150};
-// Of a chunk's time at the origin, before the next owner begins: its link never
-// stands idle between two of them.
+// The next owner starts its pull after this fraction of the time that the origin needs
+// for a chunk, so that the origin's link is never idle between two pulls.
 constexpr double sOriginIntervalFactor = 0.85;
 constexpr double sMicrosecondsPerSecond = 1'000'000;
-// More at once only share the link, and each chunk is passed on later.
+// More concurrent requests would only share the link, so that each chunk could be
+// forwarded later.
 constexpr std::uint32_t sMaxPeerRequests = 3;
 constexpr std::uint32_t sNeighbourCount = 12;
 constexpr Milliseconds sMaxTakeoverDelay{2'000};
-// Several times what a chunk takes when it shares an idle link with three others.
+// Several times the transfer time of a chunk that shares an idle link with three others.
 constexpr double sSlowChunkSeconds = 0.5;
-// Of the version in force, the next, and one after it.
+// Allows for the current version, the next one, and one after it.
 constexpr std::size_t sMaxFetches = 3;
 
 std::uint64_t randomSeed()
@@ -121,13 +123,13 @@
     mStopped = true;
     mServer->stop();
     mManifests->stop();
-    for (const VersionFetch &one : mFetches) {
-        one.fetch->cancel();
+    for (const VersionFetch &entry : mFetches) {
+        entry.fetch->cancel();
     }
     mWakeSignal->notify();
 }
 
-// Looks at the engine, and tells the gateways.
+// Polls the engine and reports its load to the gateways.
 awaitable<void> WeightStagingService::runEnginePolling()
 {
     while (!mStopped) {
@@ -136,7 +138,7 @@
     }
 }
 
-// The engine answers, and runs the newest weights that are named.
+// Whether the engine is reachable and runs the newest published weights.
 bool WeightStagingService::isUpToDate() const
 {
     const EngineFigures *engine = engineFigures();
@@ -162,8 +164,8 @@
     co_return mReport.has_value();
 }
 
-// An engine that started again has taken no order of ours and holds no weights.
-// Waiting for the load that its earlier life was ordered would keep it empty.
+// A restarted engine has received no order and holds no weights. Waiting for a load that
+// was ordered from its earlier incarnation would keep it empty.
 void WeightStagingService::detectEngineRestart(const std::optional<EngineReport> &report)
 {
     if (!report || report->born == 0 || report->born == mEngineIncarnation) {
@@ -194,12 +196,12 @@
     mReporter->set(load);
 }
 
-// Chunks tell: requests to the engine come in on the same link.
+// The transfer times of chunks show a slow link, which requests to the engine share.
 bool WeightStagingService::isLinkSlow() const
 {
-    return mServer->isSlow() || std::ranges::any_of(mFetches, [](const VersionFetch &one) {
-               return !one.fetch->isComplete()
-                   && one.fetch->recentChunkSeconds() > sSlowChunkSeconds;
+    return mServer->isSlow() || std::ranges::any_of(mFetches, [](const VersionFetch &entry) {
+               return !entry.fetch->isComplete()
+                   && entry.fetch->recentChunkSeconds() > sSlowChunkSeconds;
            });
 }
 
@@ -239,9 +241,10 @@
 
 awaitable<void> WeightStagingService::runRollout()
 {
-    // Whoever knows no other members takes itself for the owner of every chunk.
-    const Instant alone = now() + sMembersTimeout;
-    while (!mStopped && now() < alone && mMembers->stagersOf(mStagerSettings.service).size() <= 1) {
+    // An agent that knows no other members would act as the owner of every chunk.
+    const Instant membersDeadline = now() + sMembersTimeout;
+    while (!mStopped && now() < membersDeadline
+           && mMembers->stagersOf(mStagerSettings.service).size() <= 1) {
         co_await sleepFor(sMembersPollInterval);
     }
     co_await sleepFor(sMembersPollInterval);
@@ -253,8 +256,9 @@
     }
 }
 
-// One step towards the newest named version. It is fetched at once; the one
-// before it goes on, since it is due sooner and the origin may fail any time.
+// Advances towards the newest published version, whose fetch starts at once. The fetch of
+// the previous version continues, because that version is due earlier and the origin may
+// fail at any time.
 awaitable<void> WeightStagingService::advanceRollout()
 {
     const std::string model = engineFigures()->models.front();
@@ -263,8 +267,9 @@
     updateFetches();
     const bool isFetching = !mFetches.empty() && mFetches.back().id.version >= newest
         && mStore->find(mFetches.back().id.digest) != nullptr;
-    // Beside the newest, whose manifest may take long to come: an origin that dies soon
-    // still gives this box's share of the older one.
+    // The older version is fetched concurrently, because the manifest of the newest one
+    // may be delayed. The origin may then still provide this box's share of the older
+    // version before it fails.
     if (!std::exchange(mHasTriedOlderFetch, true)) {
         asio::co_spawn(mWakeSignal->executor(), joinOlderFetch(model, newest), asio::detached);
     }
@@ -272,7 +277,7 @@
         co_await sleepFor(sRetryDelay);
     }
     if (!mReport) {
-        co_return; // an engine starts about as long as half a fetch takes
+        co_return; // starting an engine takes about half as long as a fetch
     }
     if (mIsLoading) {
         checkLoadFinished(model, loaded);
@@ -288,8 +293,8 @@
 
 void WeightStagingService::checkLoadFinished(std::string_view model, std::uint64_t loaded)
 {
-    const bool isOver = !mReport->isBusy && now() - mOrderedAt > sOrderTimeout;
-    if (loaded != mOrderedVersion && !isOver) {
+    const bool isTimedOut = !mReport->isBusy && now() - mOrderedAt > sOrderTimeout;
+    if (loaded != mOrderedVersion && !isTimedOut) {
         return;
     }
     const auto took = std::chrono::duration_cast<Milliseconds>(now() - mOrderedAt);
@@ -320,23 +325,23 @@
 
 void WeightStagingService::updateFetches()
 {
-    for (const VersionFetch &one : mFetches) {
-        if (one.fetch->isComplete() && one.id.version > mCompleteVersion.version) {
-            mCompleteVersion = one.id;
+    for (const VersionFetch &entry : mFetches) {
+        if (entry.fetch->isComplete() && entry.id.version > mCompleteVersion.version) {
+            mCompleteVersion = entry.id;
             mCompleteSince = now();
         }
     }
-    // Whatever is older than one that is here whole is not needed any more.
-    std::erase_if(mFetches, [&](const VersionFetch &one) {
-        const bool isOver = one.id.version < mCompleteVersion.version;
-        if (isOver) {
-            one.fetch->cancel();
+    // Versions older than a completely fetched one are not needed any more.
+    std::erase_if(mFetches, [&](const VersionFetch &entry) {
+        const bool isObsolete = entry.id.version < mCompleteVersion.version;
+        if (isObsolete) {
+            entry.fetch->cancel();
         }
-        return isOver;
+        return isObsolete;
     });
 }
 
-// Gets the manifest of a version and begins to fetch its chunks.
+// Fetches the manifest of a version and starts the fetch of its chunks.
 awaitable<bool> WeightStagingService::startFetch(std::string model, std::uint64_t version)
 {
     auto text = co_await mManifests->fetchManifest(model, version);
@@ -357,7 +362,7 @@
     co_return true;
 }
 
-// Opens the version in the store, with what lies of it in the stage already.
+// Opens the version in the store and adds the chunks that are in the staging area already.
 awaitable<std::optional<WeightStagingService::VersionId>>
 WeightStagingService::storeManifest(std::string model, std::uint64_t version, std::string text)
 {
@@ -374,20 +379,20 @@
     co_return id;
 }
 
-// The store tells the newest version only. Others may still fetch the one before it and
-// wait for the chunks that this box owns; without those, all replicas were without usable
-// weights for 7 s (two versions 2 s apart, 6 of 76 agents killed between them, the origin
-// dead soon after).
+// The platform's store provides only the newest version, but other agents may still fetch
+// the previous one and wait for the chunks that this box owns. Without these chunks, all
+// replicas had no usable weights for 7 s: two versions were published 2 s apart, 6 of 76
+// agents were killed in between, and the origin failed soon after.
 awaitable<void> WeightStagingService::joinOlderFetch(std::string model, std::uint64_t newest)
 {
     std::string text = co_await mManifests->fetchOldestNeeded(model);
     const auto manifest = Manifest::parse(text);
     if (!manifest) {
-        co_return; // nobody fetches an older one
+        co_return; // no peer fetches an older version
     }
     std::uint64_t version = 0;
-    const std::string &told = manifest->version;
-    std::from_chars(told.data(), told.data() + told.size(), version);
+    const std::string &versionText = manifest->version;
+    std::from_chars(versionText.data(), versionText.data() + versionText.size(), version);
     if (version <= loadedVersion(model) || version >= newest) {
         co_return;
     }
@@ -396,17 +401,17 @@
     }
 }
 
-// What other agents may ask for: the manifests of versions that are fetched here. The
-// oldest one that counts is newer than what runs already.
+// Other agents may request the manifests of all versions that this agent fetches. The
+// oldest needed version is the oldest one that is newer than the loaded version.
 const std::string *WeightStagingService::localManifest(std::string_view model,
                                                        std::uint64_t version) const
 {
     const bool isOldestRequested = version == ManifestExchange::sOldestNeeded;
     const std::uint64_t loaded = loadedVersion(model);
-    for (const VersionFetch &one : mFetches) {
-        const StoredVersion *stored = mStore->find(one.id.digest);
+    for (const VersionFetch &entry : mFetches) {
+        const StoredVersion *stored = mStore->find(entry.id.digest);
         const bool isAsked
-            = isOldestRequested ? one.id.version > loaded : one.id.version == version;
+            = isOldestRequested ? entry.id.version > loaded : entry.id.version == version;
         if (isAsked && stored != nullptr && stored->manifest.service == model) {
             return &stored->manifestText;
         }
@@ -414,11 +419,11 @@
     return nullptr;
 }
 
-// What lies in the stage since an earlier life need not come over the network.
+// Chunks that an earlier run left in the staging area need not be transferred again.
 awaitable<void> WeightStagingService::adoptStagedChunks(std::string model, VersionId id)
 {
     if (!mReport) {
-        co_return; // the engine cannot be asked yet
+        co_return; // the engine is not reachable yet
     }
     const std::string digest = id.digest;
     const std::uint32_t count = mStore->find(digest)->manifest.chunkCount();
@@ -434,7 +439,7 @@
             mStore->put(digest, index, std::move(*data));
             ++adopted;
         }
-        // A stage that begins with another version holds nothing of this one.
+        // A staging area whose first chunk is of another version holds none of this one.
         if (!isIntact && index == 0) {
             break;
         }
@@ -442,7 +447,8 @@
     logLine(LogLevel::Info, "stage-adopted", {{"version", id.version}, {"chunks", adopted}});
 }
 
-// How long the origin's link needs for one chunk; zero where that is not told.
+// Interval between pulls from the origin, derived from its link rate; zero if that is
+// not configured.
 Microseconds WeightStagingService::originPullInterval(const VersionId &id) const
 {
     const RouteTablePtr &table = mConfig->table();
@@ -522,13 +528,14 @@
     co_return nullptr;
 }
 
-// Stages, reads back, and orders the load; false where it has to be tried again.
+// Stages the version, verifies the staging area and orders the load. Returns false if all
+// of this must be retried.
 awaitable<bool> WeightStagingService::stageAndLoad(std::string model, VersionId id)
 {
     if (mReport->isBusy) {
-        co_return false; // a load under way still reads the stage
+        co_return false; // a running load still reads the staging area
     }
-    // A later life of the engine may have lost the stage that is looked at here.
+    // A restart of the engine may lose the staging area after it was verified here.
     const std::uint64_t life = mEngineIncarnation;
     if (!co_await verifyStage(model, id.digest)) {
         if (!co_await writeStage(model, id.digest) || !co_await verifyStage(model, id.digest)) {
@@ -560,18 +567,18 @@
     co_return answer != OrderAnswer::Refused;
 }
 
-// Gateways send nothing more, and what waits at the engine gets its place. What runs ends
-// in its own time: the order waits for it. Broken off, a stream would end before its caller
-// wherever no other replica can take it.
+// Gateways send no more requests, and the queued ones may still start. Running requests
+// are not interrupted, because the engine delays the load until they are done. Breaking
+// off a stream would end it for its caller if no other replica could continue it.
 awaitable<bool> WeightStagingService::drainEngineQueue()
 {
-    const Instant until = now() + sQueueDrainTimeout;
+    const Instant deadline = now() + sQueueDrainTimeout;
     do {
         co_await sleepFor(sLoadReportDelay);
         if (!co_await pollEngine()) {
             co_return false;
         }
-    } while (now() < until && mReport->waiting > 0 && !mStopped);
+    } while (now() < deadline && mReport->waiting > 0 && !mStopped);
     co_return true;
 }
 
--- a/src/libloomjunction/gateway/weightstagingservice.h
+++ b/src/libloomjunction/gateway/weightstagingservice.h
@@ -31,10 +31,10 @@
 class PeerHub;
 
 /**
- * Brings the named weights to the engine of this box: gets their chunks from
- * the origin and other agents, puts them into the engine's stage when it is
- * this box's turn, reads them back, and orders the load only when every one
- * is right. Nobody else gives this engine orders.
+ * Loads the published weights into the engine of this box. The service fetches the
+ * chunks from the origin and other agents, writes them to the engine's staging area
+ * when it is this box's turn, reads them back, and orders the load only if every chunk
+ * is intact. No other component sends orders to this engine.
  */
 class WeightStagingService final : public Service
 {
@@ -48,10 +48,10 @@
     void stop() override;
 
 private:
-    /** A version by its number and the digest of its manifest. */
+    /** A version number and the digest of its manifest. */
     struct VersionId
     {
-        std::uint64_t version = 0; ///< zero: none
+        std::uint64_t version = 0; ///< zero if there is no version
         std::string digest;
     };
 
@@ -109,14 +109,14 @@
     std::unique_ptr<Signal> mWakeSignal;
 
     std::optional<EngineReport> mReport;
-    std::uint64_t mEngineIncarnation = 0; ///< the start that the engine told last; zero: none yet
-    std::vector<VersionFetch> mFetches; ///< oldest first; the last is the newest named
-    bool mHasTriedOlderFetch = false; ///< others were asked for a version that they still fetch
-    VersionId mCompleteVersion; ///< the newest one that is here whole
-    Instant mCompleteSince; ///< since when
-    std::uint64_t mOrderedVersion = 0; ///< the version of the last order
+    std::uint64_t mEngineIncarnation = 0; ///< last reported; zero before the first report
+    std::vector<VersionFetch> mFetches; ///< oldest first; the last is the newest published version
+    bool mHasTriedOlderFetch = false; ///< joinOlderFetch() was called
+    VersionId mCompleteVersion; ///< the newest completely fetched version
+    Instant mCompleteSince; ///< when it was complete
+    std::uint64_t mOrderedVersion = 0; ///< the version of the last load order
     Instant mOrderedAt;
-    bool mIsLoading = false; ///< an order is out and the engine has not said it is done
+    bool mIsLoading = false; ///< whether a load order has not finished yet
     bool mStopped = false;
 };
 
--- a/tests/gateway/stagingfixture.h
+++ b/tests/gateway/stagingfixture.h
@@ -18,7 +18,7 @@
 
 namespace Loom {
 
-/** An engine and an origin of weights in memory. */
+/** Fakes an engine and an origin of weights in memory. */
 class FakeEngine final : public EnginePort
 {
 public:
@@ -26,10 +26,10 @@
 
     std::uint64_t loaded = 1;
     std::uint64_t born = 1'000;
-    std::set<std::uint64_t> unavailableVersions; ///< of which the origin gives no chunk
-    std::set<std::uint64_t> requestedVersions; ///< versions of which a chunk was asked for
+    std::set<std::uint64_t> unavailableVersions; ///< not served by the origin
+    std::set<std::uint64_t> requestedVersions; ///< versions of which a chunk was requested
     std::function<void(std::uint32_t index)> onStageGet;
-    std::uint32_t servedChunks = 0; ///< that the origin gave
+    std::uint32_t servedChunks = 0; ///< number of chunks that the origin served
     int loadOrders = 0;
     int ordersOnIncompleteStage = 0;
     std::map<std::uint32_t, std::string> stage;
@@ -104,7 +104,7 @@
     }
 };
 
-/** One agent over a store in memory. */
+/** One agent with a weight staging service on top of a store in memory. */
 class StagingFixture
 {
 public:
@@ -128,7 +128,7 @@
     static DirectSettings settings(asio::io_context &context, std::string box)
     {
         const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-        // Members are known by the address that they record, so it must be a real one.
+        // Members are reached at the address that they record, so it must be a real one.
         Tcp::acceptor free(context, anyPort);
         DirectSettings settings;
         settings.box = std::move(box);
@@ -136,7 +136,7 @@
         settings.region = "r1";
         settings.peers = free.local_endpoint();
         settings.store = anyPort;
-        settings.bounds.weightsTime = Milliseconds(3'000); // turns to load come soon
+        settings.bounds.weightsTime = Milliseconds(3'000); // reload turns come soon
         settings.role = StagerSettings{"engine", anyPort, 0};
         return settings;
     }
--- a/tests/gateway/test_stage.cpp
+++ b/tests/gateway/test_stage.cpp
@@ -50,11 +50,12 @@
 
 } // namespace
 
-// Two versions two seconds apart; agents are killed between them and are back at once.
-// They fetched the second only, so that their chunks of the first were missing at all
-// others until the origin returned:
-//   fetch-begun   version=3 (an agent that began at 20.0 s; none of version 2)
-//   fetch-stalled version=2 have=45 unheld=3 owner=(a box that had begun again)
+// Guards against missing chunks of an older version. Two versions were published two
+// seconds apart; agents were killed in between and restarted at once. They fetched only
+// the second version, so that all others lacked their chunks of the first one until the
+// origin returned:
+//   fetch-begun   version=3 (an agent started at 20.0 s; no fetch of version 2)
+//   fetch-stalled version=2 have=45 unheld=3 owner=(a restarted box)
 BOOST_AUTO_TEST_CASE(a_starting_agent_joins_the_fetch_of_an_older_version)
 {
     asio::io_context context{1};
@@ -67,7 +68,7 @@
     second.engine.unavailableVersions = {3};
     first.start();
     runTest(context, [&]() -> awaitable<void> {
-        // What runs lies in the store, too, and is of no use to an agent that begins.
+        // The loaded version is in the store, too, but a starting agent does not need it.
         co_await waitFor([&] { return first.engine.servedChunks >= FakeEngine::sChunks; });
         store.write(Feed::Operators, "version/m", versionRecord(2));
         co_await waitFor([&] { return first.engine.requestedVersions.contains(2); });
@@ -80,27 +81,28 @@
     });
 }
 
-// An engine loses power right after its stage was found right. Its next life has taken
-// no order either, so the number of orders does not tell them apart.
+// Guards against ordering a load from an engine that restarted and lost its staging area
+// right after this was verified. The new incarnation has accepted no order either, so the
+// number of accepted orders does not reveal the restart.
 BOOST_AUTO_TEST_CASE(no_load_is_ordered_on_the_lost_stage_of_a_restarted_engine)
 {
     asio::io_context context{1};
     MemoryStore store(context.get_executor());
     store.write(Feed::Operators, "config", sConfig);
     store.write(Feed::Operators, "version/m", versionRecord(2));
-    StagingFixture lab(context, store, "box-1");
+    StagingFixture fixture(context, store, "box-1");
     int completeReads = 0;
-    lab.engine.onStageGet = [&](std::uint32_t index) {
-        const bool isWhole = lab.engine.stage.size() == FakeEngine::sChunks;
+    fixture.engine.onStageGet = [&](std::uint32_t index) {
+        const bool isWhole = fixture.engine.stage.size() == FakeEngine::sChunks;
         if (isWhole && index + 1 == FakeEngine::sChunks && ++completeReads == 1) {
-            lab.engine.stage.clear();
-            lab.engine.born += 1;
+            fixture.engine.stage.clear();
+            fixture.engine.born += 1;
         }
     };
-    lab.start();
+    fixture.start();
     runTest(context, [&]() -> awaitable<void> {
-        co_await waitFor([&] { return lab.engine.loaded == 2; });
-        BOOST_TEST(lab.engine.ordersOnIncompleteStage == 0);
-        BOOST_TEST(lab.engine.loadOrders == 1);
+        co_await waitFor([&] { return fixture.engine.loaded == 2; });
+        BOOST_TEST(fixture.engine.ordersOnIncompleteStage == 0);
+        BOOST_TEST(fixture.engine.loadOrders == 1);
     });
 }
