--- /dev/null
+++ b/src/libloomjunction/gateway/weightstagingservice.h
@@ -0,0 +1,123 @@
+/*
+ * weightstagingservice.h
+ * Copyright 2026, the loomjunction authors
+ *
+ * This file is part of loomjunction (libloomjunction).
+ * SPDX-License-Identifier: BSD-2-Clause
+ */
+
+#pragma once
+
+#include "chunkserver.h"
+#include "chunkstore.h"
+#include "directsettings.h"
+#include "kernel.h"
+#include "manifestexchange.h"
+#include "memberservice.h"
+#include "ports.h"
+#include "reloadturn.h"
+#include "tokenbucket.h"
+#include "weightfetch.h"
+
+#include <memory>
+#include <optional>
+#include <string>
+
+namespace Loom {
+
+class DirectConfig;
+class LoadReporter;
+class Metrics;
+class PeerHub;
+
+/**
+ * Loads the published weights into the engine of this box. The service fetches the
+ * chunks from the origin and other agents, writes them to the engine's staging area
+ * when it is this box's turn, reads them back, and orders the load only if every chunk
+ * is intact. No other component sends orders to this engine.
+ */
+class WeightStagingService final : public Service
+{
+public:
+    static constexpr std::string_view sName = "stage";
+
+    WeightStagingService(EnginePort &engine, Metrics &metrics, const DirectSettings &settings);
+
+    std::string_view name() const override { return sName; }
+    tl::expected<void, std::string> start(Kernel &kernel) override;
+    void stop() override;
+
+private:
+    /** A version number and the digest of its manifest. */
+    struct VersionId
+    {
+        std::uint64_t version = 0; ///< zero if there is no version
+        std::string digest;
+    };
+
+    struct VersionFetch
+    {
+        VersionId id;
+        std::shared_ptr<WeightFetch> fetch;
+    };
+
+    awaitable<void> runEnginePolling();
+    awaitable<void> runRollout();
+    awaitable<bool> pollEngine();
+    void detectEngineRestart(const std::optional<EngineReport> &report);
+    bool isUpToDate() const;
+    awaitable<void> advanceRollout();
+    awaitable<bool> startFetch(std::string model, std::uint64_t version);
+    awaitable<std::optional<VersionId>> storeManifest(std::string model, std::uint64_t version,
+                                                      std::string text);
+    awaitable<void> joinOlderFetch(std::string model, std::uint64_t newest);
+    void updateFetches();
+    const std::string *localManifest(std::string_view model, std::uint64_t version) const;
+    awaitable<void> adoptStagedChunks(std::string model, VersionId id);
+    awaitable<tl::expected<std::string, ChunkFailure>>
+    originChunk(std::string model, std::uint64_t version, std::uint32_t index);
+    Microseconds originPullInterval(const VersionId &id) const;
+    std::shared_ptr<WeightFetch> launchFetch(const std::string &model, const VersionId &id);
+    void checkLoadFinished(std::string_view model, std::uint64_t loaded);
+    awaitable<bool> stageAndLoad(std::string model, VersionId id);
+    awaitable<bool> drainEngineQueue();
+    awaitable<bool> writeStage(std::string model, std::string digest);
+    awaitable<bool> verifyStage(std::string model, std::string digest);
+    bool isMyTurn(const std::string &model, std::uint64_t version) const;
+    std::vector<SwarmMember> members() const;
+    awaitable<PeerStreamPtr> openPeerStream(std::string box, std::string path);
+    std::optional<Tcp::endpoint> originEndpoint() const;
+    bool isLinkSlow() const;
+    const EngineFigures *engineFigures() const;
+    std::uint64_t loadedVersion(std::string_view model) const;
+    void reportLoad();
+
+    EnginePort &mEngine;
+    Metrics &mMetrics;
+    const DirectSettings &mSettings;
+    const StagerSettings &mStagerSettings;
+    DirectConfig *mConfig = nullptr;
+    MemberService *mMembers = nullptr;
+    PeerHub *mHub = nullptr;
+    LoadReporter *mReporter = nullptr;
+    std::unique_ptr<ChunkStore> mStore;
+    TokenBucket mIngress;
+    TokenBucket mEgress;
+    std::unique_ptr<ChunkServer> mServer;
+    std::unique_ptr<ManifestExchange> mManifests;
+    FetchCounts mFetchCounts;
+    std::unique_ptr<Signal> mWakeSignal;
+
+    std::optional<EngineReport> mReport;
+    std::uint64_t mEngineIncarnation = 0; ///< last reported; zero before the first report
+    std::vector<VersionFetch> mFetches; ///< oldest first; the last is the newest published version
+    bool mHasTriedOlderFetch = false; ///< joinOlderFetch() was called
+    VersionId mCompleteVersion; ///< the newest completely fetched version
+    Instant mCompleteSince; ///< when it was complete
+    std::uint64_t mOrderedVersion = 0; ///< the version of the last load order
+    Instant mOrderedAt;
+    bool mIsLoading = false; ///< whether a load order has not finished yet
+    bool mStopped = false;
+};
+
+} // namespace Loom
--- a/src/libloomjunction/weights/chunkserver.h
+++ b/src/libloomjunction/weights/chunkserver.h
@@ -17,36 +17,36 @@
 
 namespace Loom {
 
-/** Stream paths on which agents exchange chunks. */
+/** Stream paths for the exchange of chunks between agents. */
 inline constexpr std::string_view sHavePath = "/have";
 inline constexpr std::string_view sChunkPath = "/chunk";
 
-/** Gives other agents the chunks that this one holds, at the pace of its link. */
+/** Serves the stored chunks to other agents at a limited rate. */
 class ChunkServer
 {
 public:
-    /** @p mostUploads: chunks on their way out at once; more are told that this box is busy. */
-    ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t mostUploads);
+    /** Requests beyond @p maxUploads concurrent uploads are answered with "busy". */
+    ChunkServer(ChunkStore &store, TokenBucket &egress, std::uint32_t maxUploads);
 
-    /** Tells which chunks of a version are here, as they come. */
+    /** Announces the stored chunks of a version, and each new one as it is stored. */
     awaitable<void> serveHave(PeerStreamPtr stream);
     /** Answers one request for a chunk or a manifest. */
     awaitable<void> serveChunk(PeerStreamPtr stream);
     void stop() { mStopped = true; }
 
-    std::uint32_t uploads() const { return mUploads; }
-    /** Slices take long to leave: the box's link is slow. */
+    std::uint32_t uploads() const { return mUploadCount; }
+    /** Whether slices take so long to send that the box's link is congested. */
     bool isSlow() const;
 
 private:
-    std::uint32_t mostUploads() const;
+    std::uint32_t maxUploads() const;
     awaitable<void> sendSlices(PeerStreamPtr stream, std::string_view data);
 
     ChunkStore &mStore;
     TokenBucket &mEgress;
-    std::uint32_t mMostUploads;
-    std::uint32_t mUploads = 0;
-    double mMeanSliceSeconds = 0; ///< smoothed, from queueing a slice to its leaving
+    std::uint32_t mMaxUploads;
+    std::uint32_t mUploadCount = 0;
+    double mMeanSliceSeconds = 0; ///< smoothed time from queueing a slice to sending it
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/weights/weightfetch.h
+++ b/src/libloomjunction/weights/weightfetch.h
@@ -23,17 +23,17 @@
 
 namespace Loom {
 
-/** Bytes moved by the fetches of one agent. */
+/** Totals over all fetches of an agent. */
 struct FetchCounts
 {
     std::uint64_t originBytes = 0;
     std::uint64_t peerBytes = 0;
-    std::uint64_t badChunks = 0;
+    std::uint64_t corruptChunks = 0;
 };
 
 /**
- * One version being fetched: carries out what a ChunkPlan decides. Ends by
- * itself once complete or cancelled. Owned by the weights service.
+ * Fetches one version by sending the requests that a ChunkPlan decides on. The fetch
+ * ends once it is complete or cancelled. Owned by the weights service.
  */
 class WeightFetch : public std::enable_shared_from_this<WeightFetch>
 {
@@ -41,11 +41,11 @@
     struct Parts
     {
         SwarmMember self;
-        /** A stream to another agent; null where it cannot be reached. */
+        /** Opens a stream to another agent; returns null if it is unreachable. */
         std::function<awaitable<PeerStreamPtr>(std::string box, std::string path)> open;
-        /** The manifest's text; empty where the origin does not give it. */
+        /** Fetches the manifest's text from the origin; returns an empty string on failure. */
         std::function<awaitable<std::string>()> originManifest;
-        /** A chunk as the origin sends it, not verified yet. */
+        /** Fetches a chunk from the origin without verifying it. */
         std::function<awaitable<tl::expected<std::string, ChunkFailure>>(std::uint32_t index)>
             originChunk;
         ChunkStore &store;
@@ -57,15 +57,15 @@
 
     WeightFetch(VersionTarget target, ChunkPlan::Options options, Parts parts);
 
-    /** Runs until every chunk is in the store, or until cancel(). */
+    /** Runs until every chunk is stored, or until cancel(). */
     static awaitable<void> run(std::shared_ptr<WeightFetch> self);
     void cancel();
 
     const VersionTarget &target() const { return mTarget; }
     bool isComplete() const { return mPlan && mPlan->isComplete(); }
-    /** Time that chunks from neighbours took of late, or that one takes already. */
+    /** Recent transfer time of chunks from neighbours, or the age of the oldest open request. */
     double recentChunkSeconds() const;
-    std::uint32_t haveCount() const { return mPlan ? mPlan->haveCount() : 0; }
+    std::uint32_t storedCount() const { return mPlan ? mPlan->storedCount() : 0; }
     std::uint32_t chunkCount() const { return mPlan ? mPlan->chunkCount() : 0; }
 
 private:
@@ -73,32 +73,33 @@
     awaitable<std::string> manifestFromOrigin();
     awaitable<PeerStreamPtr> openPeer(std::string box, std::string_view path);
     awaitable<std::string> manifestFromPeer(std::string box);
-    bool keepManifest(const std::string &text);
-    void beginPlan(StoredVersion &stored);
+    bool acceptManifest(const std::string &text);
+    void createPlan(StoredVersion &stored);
     awaitable<void> fetchChunks();
     void logStall();
     void logFailure(const ChunkFetch &fetch, ChunkFailure why) const;
     void followNeighbours();
-    static awaitable<void> follow(std::shared_ptr<WeightFetch> self, std::string box);
-    static awaitable<void> fetchOne(std::shared_ptr<WeightFetch> self, ChunkFetch fetch);
-    awaitable<tl::expected<std::string, ChunkFailure>> fromOrigin(std::uint32_t index);
-    awaitable<tl::expected<std::string, ChunkFailure>> fromPeer(std::uint32_t index,
-                                                                std::string box);
-    std::uint32_t peerParallel() const;
+    static awaitable<void> followPeer(std::shared_ptr<WeightFetch> self, std::string box);
+    static awaitable<void> fetchChunk(std::shared_ptr<WeightFetch> self, ChunkFetch fetch);
+    awaitable<tl::expected<std::string, ChunkFailure>> fetchFromOrigin(std::uint32_t index);
+    awaitable<tl::expected<std::string, ChunkFailure>> fetchFromPeer(std::uint32_t index,
+                                                                     std::string box);
+    std::uint32_t maxPeerRequests() const;
     std::chrono::milliseconds chunkTimeout() const;
-    void take(const ChunkFetch &fetch, tl::expected<std::string, ChunkFailure> data);
+    void finishFetch(const ChunkFetch &fetch, tl::expected<std::string, ChunkFailure> data);
 
     VersionTarget mTarget;
     ChunkPlan::Options mOptions;
     Parts mParts;
     std::unique_ptr<ChunkPlan> mPlan;
-    std::set<std::string> mFollowed;
-    double mRecentChunkSeconds = 0; ///< smoothed over the last few
-    std::multiset<std::chrono::steady_clock::time_point> mOpenSince; ///< requests to neighbours
-    double mMeanChunkSeconds = 0; ///< smoothed time that a chunk from a neighbour takes
-    Instant mStallLogged;
+    std::set<std::string> mFollowedPeers;
+    double mRecentChunkSeconds = 0; ///< smoothed transfer time of the last few chunks
+    /** Start times of open requests to neighbours. */
+    std::multiset<std::chrono::steady_clock::time_point> mOpenRequestStarts;
+    double mMeanChunkSeconds = 0; ///< long-term smoothed transfer time of chunks from neighbours
+    Instant mStallLoggedAt;
     bool mCancelled = false;
-    Signal mProgress;
+    Signal mProgressSignal;
 };
 
 } // namespace Loom
--- /dev/null
+++ b/tests/direct/test_weightversiontracker.cpp
@@ -0,0 +1,112 @@
+/*
+ * test_weightversiontracker.cpp
+ * Copyright 2026, the loomjunction authors
+ *
+ * This file is part of loomjunction (tests).
+ * SPDX-License-Identifier: BSD-2-Clause
+ */
+
+#include <boost/test/unit_test.hpp>
+
+#include <map>
+#include <set>
+
+#include "fakelog.h"
+#include "reloadturn.h"
+#include "weightversiontracker.h"
+
+using namespace Loom;
+
+BOOST_AUTO_TEST_CASE(older_versions_start_no_requests_after_the_grace_period)
+{
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    BOOST_TEST(tracker.newest("m") == 1U);
+    BOOST_TEST(tracker.oldestAllowed("m", at(0)) == 1U);
+    tracker.name("m", 2, at(10'000));
+    tracker.name("m", 3, at(14'000));
+    BOOST_TEST(tracker.newest("m") == 3U);
+    BOOST_TEST(tracker.oldestAllowed("m", at(15'900)) == 1U);
+    // Sending stops before the cutoff, because a request may be queued before it starts.
+    BOOST_TEST(tracker.oldestAllowed("m", at(16'800)) == 2U);
+    BOOST_TEST(tracker.oldestAllowed("m", at(20'800)) == 3U);
+    BOOST_TEST(tracker.oldestAllowed("other", at(20'800)) == 1U);
+}
+
+BOOST_AUTO_TEST_CASE(the_cutoff_is_set_by_the_first_newer_version)
+{
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    BOOST_TEST(!tracker.cutoffAt("m", 1).has_value());
+    tracker.name("m", 2, at(10'000));
+    tracker.name("m", 3, at(14'000));
+    BOOST_TEST((tracker.cutoffAt("m", 1) == at(18'000)));
+    BOOST_TEST((tracker.cutoffAt("m", 2) == at(22'000)));
+    BOOST_TEST(!tracker.cutoffAt("m", 3).has_value());
+    BOOST_TEST(!tracker.cutoffAt("other", 1).has_value());
+}
+
+BOOST_AUTO_TEST_CASE(the_start_deadline_lies_between_the_last_send_and_the_cutoff)
+{
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    tracker.name("m", 2, at(10'000));
+    BOOST_REQUIRE(tracker.startDeadline("m", 1).has_value());
+    const Instant giveUp = *tracker.startDeadline("m", 1);
+    // The requests that were sent last still have some time to start.
+    BOOST_TEST((tracker.oldestAllowed("m", giveUp - Milliseconds(500)) == 2U));
+    // The newer version may have been published 400 ms before this process learned of it.
+    BOOST_TEST((giveUp + Milliseconds(500) <= at(18'000)));
+    // A newer version may be published at any time; the next check precedes the start
+    // deadline that it would set.
+    BOOST_TEST(!tracker.startDeadline("m", 2).has_value());
+    const Instant look = tracker.nextCheckAt(at(20'000));
+    tracker.name("m", 3, at(20'000));
+    BOOST_TEST((look < *tracker.startDeadline("m", 2)));
+}
+
+BOOST_AUTO_TEST_CASE(a_version_learned_twice_keeps_its_first_time)
+{
+    WeightVersionTracker tracker(Milliseconds(8'000));
+    tracker.name("m", 2, at(1'000));
+    tracker.name("m", 2, at(9'000));
+    BOOST_TEST((tracker.learnedAt("m", 2) == at(1'000)));
+}
+
+BOOST_AUTO_TEST_CASE(reload_turns_are_spread_and_end_before_the_cutoff)
+{
+    std::vector<std::string> boxes;
+    for (int box = 0; box < 20; ++box) {
+        boxes.push_back("box-" + std::to_string(box));
+    }
+    const ReloadTurn turn(Milliseconds(8'000));
+    std::set<Instant> moments;
+    for (const std::string &box : boxes) {
+        const Instant moment = turn.at("m@2", box, boxes, at(1'000), at(2'000));
+        BOOST_TEST((moment >= at(4'200)));
+        BOOST_TEST((moment <= at(7'400)));
+        moments.insert(moment);
+    }
+    BOOST_TEST(moments.size() == boxes.size());
+    // A box that is missing from the list of members still has a turn.
+    BOOST_TEST((turn.at("m@2", "new", boxes, at(0), at(0)) <= at(6'400)));
+    BOOST_TEST((turn.at("m@2", "alone", {}, at(0), at(0)) <= at(6'400)));
+}
+
+BOOST_AUTO_TEST_CASE(reload_turns_missed_during_the_fetch_are_spread_again)
+{
+    std::vector<std::string> boxes;
+    for (int box = 0; box < 20; ++box) {
+        boxes.push_back("box-" + std::to_string(box));
+    }
+    const ReloadTurn turn(Milliseconds(8'000));
+    std::map<std::int64_t, int> inEachTenth;
+    for (const std::string &box : boxes) {
+        const Instant moment = turn.at("m@2", box, boxes, at(0), at(5'000));
+        BOOST_TEST((moment >= at(5'000)));
+        BOOST_TEST((moment <= at(6'400)));
+        ++inEachTenth[(moment - at(5'000)) / Milliseconds(140)];
+    }
+    for (const auto &[tenth, count] : inEachTenth) {
+        BOOST_TEST(count <= 2);
+    }
+    // Weights that are complete after the last turn are loaded at once.
+    BOOST_TEST((turn.at("m@2", "box-3", boxes, at(0), at(7'000)) <= at(7'000)));
+}
--- a/tests/gateway/stagelab.h
+++ b/tests/gateway/stagingfixture.h
@@ -1,5 +1,5 @@
 /*
- * stagelab.h
+ * stagingfixture.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -11,14 +11,14 @@
 #include "directlab.h"
 #include "loadreporter.h"
 #include "manifest.h"
-#include "stageservice.h"
+#include "weightstagingservice.h"
 
 #include <map>
 #include <set>
 
 namespace Loom {
 
-/** An engine and an origin of weights in memory. */
+/** Fakes an engine and an origin of weights in memory. */
 class FakeEngine final : public EnginePort
 {
 public:
@@ -26,12 +26,12 @@
 
     std::uint64_t loaded = 1;
     std::uint64_t born = 1'000;
-    std::set<std::uint64_t> deadVersions; ///< of which the origin gives no chunk
-    std::set<std::uint64_t> pulled; ///< versions of which a chunk was asked for
+    std::set<std::uint64_t> unavailableVersions; ///< not served by the origin
+    std::set<std::uint64_t> requestedVersions; ///< versions of which a chunk was requested
     std::function<void(std::uint32_t index)> onStageGet;
-    std::uint32_t pieces = 0; ///< that the origin gave
-    int orders = 0;
-    int ordersOnHalfAStage = 0;
+    std::uint32_t servedChunks = 0; ///< number of chunks that the origin served
+    int loadOrders = 0;
+    int ordersOnIncompleteStage = 0;
     std::map<std::uint32_t, std::string> stage;
 
     static Manifest manifestOf(std::uint64_t version)
@@ -52,8 +52,8 @@
 
     awaitable<OrderAnswer> load(std::string, std::uint64_t version, std::uint64_t) override
     {
-        ++orders;
-        ordersOnHalfAStage += stage.size() < sChunks ? 1 : 0;
+        ++loadOrders;
+        ordersOnIncompleteStage += stage.size() < sChunks ? 1 : 0;
         loaded = version;
         co_return OrderAnswer::Begun;
     }
@@ -83,11 +83,11 @@
     awaitable<std::optional<std::string>> piece(Tcp::endpoint, std::string, std::uint64_t version,
                                                 std::uint32_t index) override
     {
-        pulled.insert(version);
-        if (deadVersions.contains(version)) {
+        requestedVersions.insert(version);
+        if (unavailableVersions.contains(version)) {
             co_return std::nullopt;
         }
-        ++pieces;
+        ++servedChunks;
         co_return weightsOf(version).substr(std::size_t{index} * sChunkBytes, sChunkBytes);
     }
 
@@ -104,11 +104,11 @@
     }
 };
 
-/** One agent over a store in memory. */
-class StageLab
+/** One agent with a weight staging service on top of a store in memory. */
+class StagingFixture
 {
 public:
-    StageLab(asio::io_context &context, StorePort &store, std::string box)
+    StagingFixture(asio::io_context &context, StorePort &store, std::string box)
         : mSettings(settings(context, std::move(box)))
         , mKernel(context.get_executor())
     {
@@ -117,7 +117,7 @@
         mKernel.add(std::make_unique<MemberService>(store, mSettings, 1));
         mKernel.add(std::make_unique<DirectConfig>(mRecords, mSettings.bounds));
         mKernel.add(std::make_unique<LoadReporter>("127.0.0.1:1"));
-        mKernel.add(std::make_unique<StageService>(engine, mMetrics, mSettings));
+        mKernel.add(std::make_unique<WeightStagingService>(engine, mMetrics, mSettings));
     }
 
     FakeEngine engine;
@@ -128,7 +128,7 @@
     static DirectSettings settings(asio::io_context &context, std::string box)
     {
         const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-        // Members are known by the address that they record, so it must be a real one.
+        // Members are reached at the address that they record, so it must be a real one.
         Tcp::acceptor free(context, anyPort);
         DirectSettings settings;
         settings.box = std::move(box);
@@ -136,7 +136,7 @@
         settings.region = "r1";
         settings.peers = free.local_endpoint();
         settings.store = anyPort;
-        settings.bounds.weightsTime = Milliseconds(3'000); // turns to load come soon
+        settings.bounds.weightsTime = Milliseconds(3'000); // reload turns come soon
         settings.role = StagerSettings{"engine", anyPort, 0};
         return settings;
     }
