--- a/examples/embedded_fold.cpp
+++ b/examples/embedded_fold.cpp
@@ -35,7 +35,7 @@
 {
     wire::ConfigChange change;
     change.set_change_id(id);
-    change.set_base(ConfigState::sNothing); // its author has seen nothing yet
+    change.set_base(ConfigState::sNoOffset); // its author has seen nothing yet
     wire::SetValue &set = *change.add_operations()->mutable_set_value();
     set.set_scope("/");
     set.set_key("calls.deadlineMs");
@@ -52,7 +52,7 @@
     ConfigReplica replica;
     const std::vector records{recordAt(0, deadlineChange("first", "1500")),
                               recordAt(1, deadlineChange("rival", "9000"))};
-    replica.feedLog(records, 0, now);
+    replica.applyLog(records, 0, now);
     std::cout << "deadline: " << replica.state().integer("", "calls.deadlineMs")
               << " ms; rival: " << replica.state().fate("rival")->reason << "\n";
 
@@ -62,7 +62,7 @@
     stored.set_offset(41);
     stored.set_data(claim->SerializeAsString());
     lease.feed({&stored, 1}, now);
-    std::cout << "fencing number: " << *lease.permit(now) << "\n";
+    std::cout << "fencing number: " << *lease.fencingNumber(now) << "\n";
 
     const std::vector<SwarmMember> members{{"box-1", "dc-a"}, {"box-2", "dc-a"}};
     ChunkPlan plan("manifest", 8, members[0], {}, now);
--- a/src/libloomjunction/core/attemptledger.cpp
+++ b/src/libloomjunction/core/attemptledger.cpp
@@ -12,10 +12,10 @@
 
 namespace Loom {
 
-bool AttemptLedger::start(const AttemptKey &attempt, Instant now)
+bool AttemptLedger::tryStart(const AttemptKey &attempt, Instant now)
 {
-    forgetOld(now);
-    EntryLedger &ledger = ledgerOf(attempt.entry, now);
+    removeExpired(now);
+    EntryLedger &ledger = ledgerFor(attempt.entry, now);
     // Behind the horizon a tombstone may have been forgotten: refusing is the safe side.
     if (attempt.sequence <= ledger.horizon || ledger.attempts.contains(attempt.sequence)) {
         return false;
@@ -26,8 +26,8 @@
 
 RevokeResult AttemptLedger::revoke(const AttemptKey &attempt, Instant now)
 {
-    forgetOld(now);
-    EntryLedger &ledger = ledgerOf(attempt.entry, now);
+    removeExpired(now);
+    EntryLedger &ledger = ledgerFor(attempt.entry, now);
     const auto it = ledger.attempts.find(attempt.sequence);
     if (it != ledger.attempts.end()) {
         return it->second == State::Started ? RevokeResult::Started : RevokeResult::Revoked;
@@ -39,14 +39,14 @@
     return RevokeResult::Revoked;
 }
 
-AttemptLedger::EntryLedger &AttemptLedger::ledgerOf(const std::string &entry, Instant now)
+AttemptLedger::EntryLedger &AttemptLedger::ledgerFor(const std::string &entry, Instant now)
 {
     const auto it = mEntries.find(entry);
     if (it != mEntries.end()) {
         it->second.lastUsed = now;
         return it->second;
     }
-    if (mEntries.size() >= sMostEntries) {
+    if (mEntries.size() >= sMaxEntries) {
         const auto oldest = std::ranges::min_element(
             mEntries, {}, [](const auto &pair) { return pair.second.lastUsed; });
         mEntries.erase(oldest);
@@ -60,28 +60,28 @@
                              Instant now)
 {
     ledger.attempts[attempt.sequence] = state;
-    mOrder.push_back({attempt, now});
-    if (mOrder.size() > sMost) {
-        forgetOldest();
+    mByAge.push_back({attempt, now});
+    if (mByAge.size() > sMaxAttempts) {
+        removeOldest();
     }
 }
 
-void AttemptLedger::forgetOld(Instant now)
+void AttemptLedger::removeExpired(Instant now)
 {
-    while (!mOrder.empty() && now - mOrder.front().at > sKept) {
-        forgetOldest();
+    while (!mByAge.empty() && now - mByAge.front().at > sRetention) {
+        removeOldest();
     }
 }
 
-void AttemptLedger::forgetOldest()
+void AttemptLedger::removeOldest()
 {
-    const AttemptKey &attempt = mOrder.front().attempt;
+    const AttemptKey &attempt = mByAge.front().attempt;
     const auto it = mEntries.find(attempt.entry);
     if (it != mEntries.end()) {
         it->second.attempts.erase(attempt.sequence);
         it->second.horizon = std::max(it->second.horizon, attempt.sequence);
     }
-    mOrder.pop_front();
+    mByAge.pop_front();
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/attemptledger.h
+++ b/src/libloomjunction/core/attemptledger.h
@@ -43,19 +43,19 @@
 {
 public:
     /** True when @p attempt may start; false when it was revoked, seen before or is too old. */
-    bool start(const AttemptKey &attempt, Instant now);
+    bool tryStart(const AttemptKey &attempt, Instant now);
 
     /** Lays a tombstone for @p attempt unless it had started. */
     RevokeResult revoke(const AttemptKey &attempt, Instant now);
 
-    std::size_t size() const { return mOrder.size(); }
+    std::size_t size() const { return mByAge.size(); }
 
     /** How long an attempt is remembered. */
-    static constexpr Milliseconds sKept{120'000};
+    static constexpr Milliseconds sRetention{120'000};
     /** Attempts remembered at most; older ones are forgotten behind a horizon. */
-    static constexpr std::size_t sMost = 65'536;
+    static constexpr std::size_t sMaxAttempts = 65'536;
     /** Entry incarnations remembered at most. */
-    static constexpr std::size_t sMostEntries = 4'096;
+    static constexpr std::size_t sMaxEntries = 4'096;
 
 private:
     enum class State : std::uint8_t
@@ -71,19 +71,19 @@
         Instant lastUsed;
     };
 
-    struct Remembered
+    struct TimedAttempt
     {
         AttemptKey attempt;
         Instant at;
     };
 
-    EntryLedger &ledgerOf(const std::string &entry, Instant now);
+    EntryLedger &ledgerFor(const std::string &entry, Instant now);
     void remember(EntryLedger &ledger, const AttemptKey &attempt, State state, Instant now);
-    void forgetOld(Instant now);
-    void forgetOldest();
+    void removeExpired(Instant now);
+    void removeOldest();
 
     std::map<std::string, EntryLedger, std::less<>> mEntries;
-    std::deque<Remembered> mOrder;
+    std::deque<TimedAttempt> mByAge;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/burnreport.cpp
+++ b/src/libloomjunction/core/burnreport.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 // Burn rates of the usual multi-window alerts: two days' and ten days' budget.
-constexpr double sPageBurn = 14.4;
-constexpr double sTicketBurn = 3.0;
+constexpr double sPageBurnRate = 14.4;
+constexpr double sTicketBurnRate = 3.0;
 constexpr double sPerMille = 1000.0;
 
-std::int64_t minuteOf(Instant now)
+std::int64_t minuteIndex(Instant now)
 {
     return std::chrono::floor<std::chrono::minutes>(now.time_since_epoch()).count();
 }
@@ -38,11 +38,11 @@
 {
     auto it = mBuckets.find(series);
     if (it == mBuckets.end()) {
-        const bool full = mBuckets.size() >= sMostSeries;
+        const bool full = mBuckets.size() >= sMaxSeries;
         it = mBuckets.try_emplace(full ? BurnSeries{series.service, "(other)"} : series).first;
     }
     std::deque<Bucket> &buckets = it->second;
-    const std::int64_t minute = minuteOf(now);
+    const std::int64_t minute = minuteIndex(now);
     if (buckets.empty() || buckets.back().minute != minute) {
         buckets.push_back({minute, {}});
     }
@@ -61,7 +61,7 @@
     if (it == mBuckets.end()) {
         return sum;
     }
-    const std::int64_t oldest = minuteOf(now) - span.count();
+    const std::int64_t oldest = minuteIndex(now) - span.count();
     for (const Bucket &bucket : it->second) {
         if (bucket.minute > oldest) {
             sum.add(bucket.counts);
@@ -96,13 +96,13 @@
     return static_cast<double>(counts.bad) / static_cast<double>(counts.total) / budget;
 }
 
-std::string_view burnVerdict(double shortBurn, double longBurn)
+std::string_view burnAlert(double shortBurn, double longBurn)
 {
     const double both = std::min(shortBurn, longBurn);
-    if (both >= sPageBurn) {
+    if (both >= sPageBurnRate) {
         return "page";
     }
-    return both >= sTicketBurn ? "ticket" : "ok";
+    return both >= sTicketBurnRate ? "ticket" : "ok";
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/burnreport.h
+++ b/src/libloomjunction/core/burnreport.h
@@ -72,7 +72,7 @@
     double coverage(std::chrono::minutes span, Instant now) const;
 
     /** Series kept at most; further ones are counted under account "(other)". */
-    static constexpr std::size_t sMostSeries = 2'000;
+    static constexpr std::size_t sMaxSeries = 2'000;
 
 private:
     struct Bucket
@@ -89,6 +89,6 @@
 double burnRate(const BurnCounts &counts, std::int64_t targetPerMille);
 
 /** What an operator should do about a short and a long window together. */
-std::string_view burnVerdict(double shortBurn, double longBurn);
+std::string_view burnAlert(double shortBurn, double longBurn);
 
 } // namespace Loom
--- a/src/libloomjunction/core/callgate.cpp
+++ b/src/libloomjunction/core/callgate.cpp
@@ -17,28 +17,28 @@
 namespace {
 
 constexpr Milliseconds sFullRetryAfter{200};
-constexpr Milliseconds sElsewhereRetryAfter{100};
+constexpr Milliseconds sOtherUpstreamRetryAfter{100};
 
 } // namespace
 
 CallGate::CallGate(std::uint64_t incarnation)
     : mIncarnation(incarnation)
-    , mOnce(incarnation)
+    , mKeyTable(incarnation)
 {
 }
 
-GateDecision CallGate::arrive(const GateCall &call, WallMilliseconds wallNow, Instant now)
+GateDecision CallGate::admit(const GateCall &call, WallMilliseconds wallNow, Instant now)
 {
-    if (!mLedger.start(call.attempt, now)) {
-        return GateRefuse{{RefusalReason::Revoked, sElsewhereRetryAfter}};
+    if (!mLedger.tryStart(call.attempt, now)) {
+        return GateRefuse{{RefusalReason::Revoked, sOtherUpstreamRetryAfter}};
     }
-    return arriveAgain(call, wallNow, now);
+    return admitAfterWait(call, wallNow, now);
 }
 
-GateDecision CallGate::arriveAgain(const GateCall &call, WallMilliseconds wallNow, Instant now)
+GateDecision CallGate::admitAfterWait(const GateCall &call, WallMilliseconds wallNow, Instant now)
 {
-    if (!call.onceKey.empty()) {
-        return beginOnce(call, wallNow, now);
+    if (!call.idempotencyKey.empty()) {
+        return beginKeyed(call, wallNow, now);
     }
     if (const auto refused = refusal(call)) {
         return GateRefuse{*refused};
@@ -47,28 +47,28 @@
     return GateRun{};
 }
 
-GateDecision CallGate::beginOnce(const GateCall &call, WallMilliseconds wallNow, Instant now)
+GateDecision CallGate::beginKeyed(const GateCall &call, WallMilliseconds wallNow, Instant now)
 {
     // The key's own memory goes first: what ran is answered so even while leaving.
-    const OnceDecision decision
-        = mOnce.begin(call.onceKey, call.homeIncarnation, call.keyExpires, wallNow, now);
+    const KeyDecision decision
+        = mKeyTable.begin(call.idempotencyKey, call.homeIncarnation, call.keyExpires, wallNow, now);
     return std::visit(
         Overload{
-            [&](const OnceRun &) -> GateDecision {
+            [&](const KeyRun &) -> GateDecision {
                 if (const auto refused = refusal(call)) {
-                    mOnce.finishNotRun(call.onceKey, *refused);
+                    mKeyTable.finishNotRun(call.idempotencyKey, *refused);
                     return GateRefuse{*refused, true};
                 }
                 ++mInFlight;
                 return GateRun{};
             },
-            [](const OnceBusy &) -> GateDecision { return GateWait{}; },
-            [](const OnceReplay &replay) -> GateDecision { return GateReplay{replay.answer}; },
-            [](const OnceUnknown &unknown) -> GateDecision { return GateUnknown{unknown.reason}; },
-            [](const OnceRefused &refused) -> GateDecision {
+            [](const KeyBusy &) -> GateDecision { return GateWait{}; },
+            [](const KeyReplay &replay) -> GateDecision { return GateReplay{replay.answer}; },
+            [](const KeyUnknown &unknown) -> GateDecision { return GateUnknown{unknown.reason}; },
+            [](const KeyRefused &refused) -> GateDecision {
                 return GateRefuse{refused.refusal, true};
             },
-            [](const OnceFull &full) -> GateDecision {
+            [](const KeyTableFull &full) -> GateDecision {
                 return GateRefuse{{RefusalReason::Overloaded, full.retryAfter}};
             },
         },
@@ -78,7 +78,7 @@
 std::optional<NotRun> CallGate::refusal(const GateCall &call) const
 {
     if (mLeaving) {
-        return NotRun{RefusalReason::UpstreamLeaving, sElsewhereRetryAfter};
+        return NotRun{RefusalReason::UpstreamLeaving, sOtherUpstreamRetryAfter};
     }
     if (call.timeLeft.count() <= 0) {
         return NotRun{RefusalReason::DeadlinePassed, Milliseconds(0)};
@@ -89,7 +89,7 @@
     const bool lacksVersion
         = !call.version.empty() && std::ranges::find(mVersions, call.version) == mVersions.end();
     if (lacksVersion) {
-        return NotRun{RefusalReason::VersionNotLoaded, sElsewhereRetryAfter};
+        return NotRun{RefusalReason::VersionNotLoaded, sOtherUpstreamRetryAfter};
     }
     if (mInFlight >= mCapacity) {
         return NotRun{RefusalReason::Overloaded, sFullRetryAfter};
@@ -97,20 +97,23 @@
     return std::nullopt;
 }
 
-void CallGate::ended(const GateCall &call, const Outcome &outcome, std::string_view body,
-                     Instant now)
+void CallGate::complete(const GateCall &call, const Outcome &outcome, std::string_view body,
+                        Instant now)
 {
     mInFlight -= mInFlight > 0 ? 1 : 0;
-    if (call.onceKey.empty()) {
+    if (call.idempotencyKey.empty()) {
         return;
     }
     std::visit(
         Overload{
             [&](const Answered &answered) {
-                mOnce.finishAnswered(call.onceKey, {answered.status, std::string(body)}, now);
+                mKeyTable.finishAnswered(call.idempotencyKey, {answered.status, std::string(body)},
+                                         now);
+            },
+            [&](const NotRun &notRun) { mKeyTable.finishNotRun(call.idempotencyKey, notRun); },
+            [&](const Unknown &unknown) {
+                mKeyTable.finishUnknown(call.idempotencyKey, unknown.reason, now);
             },
-            [&](const NotRun &notRun) { mOnce.finishNotRun(call.onceKey, notRun); },
-            [&](const Unknown &unknown) { mOnce.finishUnknown(call.onceKey, unknown.reason, now); },
         },
         outcome);
 }
--- a/src/libloomjunction/core/callgate.h
+++ b/src/libloomjunction/core/callgate.h
@@ -9,8 +9,8 @@
 #pragma once
 
 #include "attemptledger.h"
+#include "idempotencytable.h"
 #include "instant.h"
-#include "oncetable.h"
 #include "outcome.h"
 
 #include <cstdint>
@@ -27,8 +27,8 @@
 {
     AttemptKey attempt;
     std::string version; ///< empty for plain services
-    std::string onceKey; ///< empty for calls that may be repeated
-    std::uint64_t homeIncarnation = 0; ///< the only incarnation that may run onceKey
+    std::string idempotencyKey; ///< empty for calls that may be repeated
+    std::uint64_t homeIncarnation = 0; ///< the only incarnation that may run idempotencyKey
     WallMilliseconds keyExpires{0};
     Milliseconds timeLeft{0};
 };
@@ -72,11 +72,11 @@
     /** Versions that the engine reports loaded whole. */
     void setVersions(std::vector<std::string> versions) { mVersions = std::move(versions); }
 
-    GateDecision arrive(const GateCall &call, WallMilliseconds wallNow, Instant now);
+    GateDecision admit(const GateCall &call, WallMilliseconds wallNow, Instant now);
     /** As arrive(), for a call that got GateWait before. */
-    GateDecision arriveAgain(const GateCall &call, WallMilliseconds wallNow, Instant now);
+    GateDecision admitAfterWait(const GateCall &call, WallMilliseconds wallNow, Instant now);
     /** A call that got GateRun ended so; @p body is kept for repeats of its key. */
-    void ended(const GateCall &call, const Outcome &outcome, std::string_view body, Instant now);
+    void complete(const GateCall &call, const Outcome &outcome, std::string_view body, Instant now);
     RevokeResult revoke(const AttemptKey &attempt, Instant now);
 
     std::uint64_t incarnation() const { return mIncarnation; }
@@ -88,7 +88,7 @@
 
 private:
     std::optional<NotRun> refusal(const GateCall &call) const;
-    GateDecision beginOnce(const GateCall &call, WallMilliseconds wallNow, Instant now);
+    GateDecision beginKeyed(const GateCall &call, WallMilliseconds wallNow, Instant now);
 
     std::uint64_t mIncarnation;
     std::uint32_t mCapacity = 1;
@@ -97,7 +97,7 @@
     bool mUpstreamAlive = false;
     std::vector<std::string> mVersions;
     AttemptLedger mLedger;
-    OnceTable mOnce;
+    IdempotencyTable mKeyTable;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/claimbatcher.h
+++ b/src/libloomjunction/core/claimbatcher.h
@@ -25,15 +25,15 @@
 class ClaimBatcher
 {
 public:
-    void add(wire::KeyClaim claim) { mWaiting.push_back(std::move(claim)); }
-    bool isEmpty() const { return mWaiting.empty(); }
-    /** Up to sMostPerBatch waiting claims as one record. */
-    wire::ClaimBatch take(std::string_view writer, WallMilliseconds wallNow);
+    void add(wire::KeyClaim claim) { mPending.push_back(std::move(claim)); }
+    bool isEmpty() const { return mPending.empty(); }
+    /** Up to sMaxClaimsPerBatch waiting claims as one record. */
+    wire::ClaimBatch takeBatch(std::string_view writer, WallMilliseconds wallNow);
 
-    static constexpr std::size_t sMostPerBatch = 512;
+    static constexpr std::size_t sMaxClaimsPerBatch = 512;
 
 private:
-    std::deque<wire::KeyClaim> mWaiting;
+    std::deque<wire::KeyClaim> mPending;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/claimtable.cpp
+++ b/src/libloomjunction/core/claimtable.cpp
@@ -14,29 +14,29 @@
 
 namespace {
 
-constexpr Milliseconds sRemembered = sKeyWindow + 2 * sClockSkew;
+constexpr Milliseconds sKeyRetention = sKeyLifetime + 2 * sMaxClockSkew;
 
 } // namespace
 
-void ClaimTable::feed(std::span<const wire::StoredRecord> records, std::uint64_t logFirst,
+void ClaimTable::feed(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset,
                       WallMilliseconds wallNow, Instant now)
 {
-    forgetOld(now);
-    const bool missed = logFirst > mNext;
+    removeExpired(now);
+    const bool missed = logStartOffset > mNextOffset;
     if (!mHasRead || missed) {
         // Claims before the oldest kept record are lost to us. Nothing was
         // ever trimmed while the log still begins at its first offset.
-        const bool fromStart = logFirst == 0;
+        const bool fromStart = logStartOffset == 0;
         const WallMilliseconds oldestAge(records.empty() ? 0 : records.front().age_ms());
         mCompleteSince = fromStart ? WallMilliseconds(0) : wallNow - oldestAge;
-        mNext = std::max(mNext, logFirst);
+        mNextOffset = std::max(mNextOffset, logStartOffset);
         mHasRead = true;
     }
     for (const wire::StoredRecord &record : records) {
-        if (record.offset() != mNext) {
+        if (record.offset() != mNextOffset) {
             continue;
         }
-        ++mNext;
+        ++mNextOffset;
         wire::ClaimBatch batch;
         if (!batch.ParseFromString(record.data())) {
             continue;
@@ -44,7 +44,7 @@
         for (const wire::KeyClaim &claim : batch.claims()) {
             const ClaimedHome home{claim.service(), claim.home_box(), claim.home_incarnation()};
             if (mHomes.emplace(claim.key(), home).second) {
-                mOrder.push_back({claim.key(), now + sRemembered});
+                mByAge.push_back({claim.key(), now + sKeyRetention});
             }
         }
     }
@@ -56,17 +56,17 @@
     return it == mHomes.end() ? std::nullopt : std::optional(it->second);
 }
 
-bool ClaimTable::covers(WallMilliseconds born) const
+bool ClaimTable::coversKeysSince(WallMilliseconds born) const
 {
     const bool fromStart = mCompleteSince.count() == 0;
-    return mHasRead && (fromStart || born >= mCompleteSince + sClockSkew);
+    return mHasRead && (fromStart || born >= mCompleteSince + sMaxClockSkew);
 }
 
-void ClaimTable::forgetOld(Instant now)
+void ClaimTable::removeExpired(Instant now)
 {
-    while (!mOrder.empty() && mOrder.front().until < now) {
-        mHomes.erase(mOrder.front().key);
-        mOrder.pop_front();
+    while (!mByAge.empty() && mByAge.front().expiresAt < now) {
+        mHomes.erase(mByAge.front().key);
+        mByAge.pop_front();
     }
 }
 
--- a/src/libloomjunction/core/claimtable.h
+++ b/src/libloomjunction/core/claimtable.h
@@ -8,8 +8,8 @@
 
 #pragma once
 
+#include "idempotencykey.h"
 #include "instant.h"
-#include "oncekey.h"
 #include "wire.pb.h"
 
 #include <cstdint>
@@ -41,36 +41,36 @@
 public:
     /**
      * Folds records read from the log, whose oldest kept offset is
-     * @p logFirst; @p wallNow is the reader's clock.
+     * @p logStartOffset; @p wallNow is the reader's clock.
      */
-    void feed(std::span<const wire::StoredRecord> records, std::uint64_t logFirst,
+    void feed(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset,
               WallMilliseconds wallNow, Instant now);
 
-    std::uint64_t nextOffset() const { return mNext; }
+    std::uint64_t nextOffset() const { return mNextOffset; }
     std::optional<ClaimedHome> home(std::string_view key) const;
 
     /**
      * Whether this table surely holds every claim of a key born at @p born,
      * once it has read up to the key's own claim.
      */
-    bool covers(WallMilliseconds born) const;
+    bool coversKeysSince(WallMilliseconds born) const;
 
     std::size_t size() const { return mHomes.size(); }
 
 private:
-    struct Remembered
+    struct KeyExpiry
     {
         std::string key;
-        Instant until;
+        Instant expiresAt;
     };
 
-    void forgetOld(Instant now);
+    void removeExpired(Instant now);
 
-    std::uint64_t mNext = 0;
+    std::uint64_t mNextOffset = 0;
     bool mHasRead = false;
     WallMilliseconds mCompleteSince{0}; ///< wall time from which no claim was missed
     std::unordered_map<std::string, ClaimedHome> mHomes;
-    std::deque<Remembered> mOrder;
+    std::deque<KeyExpiry> mByAge;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/configreplica.cpp
+++ b/src/libloomjunction/core/configreplica.cpp
@@ -14,73 +14,77 @@
 
 std::uint64_t ConfigReplica::nextOffset() const
 {
-    return mState.isEmpty() ? 0 : mState.asOf() + 1;
+    return mState.isEmpty() ? 0 : mState.lastOffset() + 1;
 }
 
-std::uint64_t ConfigReplica::readFrom() const
+std::uint64_t ConfigReplica::nextReadOffset() const
 {
-    return mHeld.empty() ? nextOffset() : mHeld.back().offset() + 1;
+    return mPendingRecords.empty() ? nextOffset() : mPendingRecords.back().offset() + 1;
 }
 
-FeedResult ConfigReplica::feedLog(std::span<const wire::StoredRecord> records,
-                                  std::uint64_t logFirst, Instant now)
+ApplyResult ConfigReplica::applyLog(std::span<const wire::StoredRecord> records,
+                                    std::uint64_t logStartOffset, Instant now)
 {
-    const bool gapOpen = !mHeld.empty() || logFirst > nextOffset();
+    const bool gapOpen = !mPendingRecords.empty() || logStartOffset > nextOffset();
     if (gapOpen) {
-        return feedAcrossGap(records, logFirst, now);
+        return applyAcrossGap(records, logStartOffset, now);
     }
     bool changed = false;
     for (const wire::StoredRecord &record : records) {
         if (record.offset() > nextOffset()) {
-            return FeedResult::Gap;
+            return ApplyResult::Gap;
         }
-        changed = feedOne(record, now) || changed;
+        changed = applyRecord(record, now) || changed;
     }
     if (changed) {
-        notify();
+        notifyListener();
     }
-    return FeedResult::Applied;
+    return ApplyResult::Applied;
 }
 
-FeedResult ConfigReplica::feedAcrossGap(std::span<const wire::StoredRecord> records,
-                                        std::uint64_t logFirst, Instant now)
+ApplyResult ConfigReplica::applyAcrossGap(std::span<const wire::StoredRecord> records,
+                                          std::uint64_t logStartOffset, Instant now)
 {
     // A peer may have closed the gap meanwhile.
-    std::erase_if(mHeld, [&](const auto &held) { return held.offset() < nextOffset(); });
+    std::erase_if(mPendingRecords,
+                  [&](const auto &pending) { return pending.offset() < nextOffset(); });
     for (const wire::StoredRecord &record : records) {
-        const bool follows = mHeld.empty() || record.offset() == mHeld.back().offset() + 1;
+        const bool follows
+            = mPendingRecords.empty() || record.offset() == mPendingRecords.back().offset() + 1;
         if (!follows) {
             // The log was trimmed past what is held: what was held no longer connects.
-            mHeld.clear();
+            mPendingRecords.clear();
             mAssembler.clear();
         }
-        mHeld.push_back(record);
+        mPendingRecords.push_back(record);
         wire::ConfigRecord parsed;
         const bool isChunk = parsed.ParseFromString(record.data()) && parsed.has_snapshot_chunk();
         if (!isChunk) {
             continue;
         }
         const auto snapshot = mAssembler.add(parsed.snapshot_chunk());
-        const bool connects = snapshot && snapshot->as_of() + 1 >= mHeld.front().offset();
+        const bool connects = snapshot && snapshot->as_of() + 1 >= mPendingRecords.front().offset();
         if (connects) {
-            adopt(*snapshot);
+            installSnapshot(*snapshot);
             mSnapshotTime = now - Milliseconds(record.age_ms());
         }
     }
-    const bool closed = !mHeld.empty() && mHeld.front().offset() <= nextOffset();
+    const bool closed
+        = !mPendingRecords.empty() && mPendingRecords.front().offset() <= nextOffset();
     if (!closed) {
-        return mHeld.empty() && logFirst <= nextOffset() ? FeedResult::Applied : FeedResult::Gap;
+        return mPendingRecords.empty() && logStartOffset <= nextOffset() ? ApplyResult::Applied
+                                                                         : ApplyResult::Gap;
     }
-    const std::vector<wire::StoredRecord> held = std::exchange(mHeld, {});
+    const std::vector<wire::StoredRecord> pending = std::exchange(mPendingRecords, {});
     mAssembler.clear();
-    for (const wire::StoredRecord &record : held) {
-        feedOne(record, now);
+    for (const wire::StoredRecord &record : pending) {
+        applyRecord(record, now);
     }
-    notify();
-    return FeedResult::Applied;
+    notifyListener();
+    return ApplyResult::Applied;
 }
 
-bool ConfigReplica::feedOne(const wire::StoredRecord &record, Instant now)
+bool ConfigReplica::applyRecord(const wire::StoredRecord &record, Instant now)
 {
     if (record.offset() != nextOffset()) {
         return false;
@@ -88,18 +92,18 @@
     wire::ConfigRecord parsed;
     if (!parsed.ParseFromString(record.data())) {
         mState.skip(record.offset()); // unreadable alike on every box
-        keep(record);
+        addToTail(record);
         return true;
     }
     if (parsed.has_snapshot_chunk()) {
-        noteSnapshotChunk(record, parsed.snapshot_chunk(), now);
+        addSnapshotChunk(record, parsed.snapshot_chunk(), now);
     }
-    fold(record, parsed);
-    keep(record);
+    applyToState(record, parsed);
+    addToTail(record);
     return true;
 }
 
-void ConfigReplica::fold(const wire::StoredRecord &record, const wire::ConfigRecord &parsed)
+void ConfigReplica::applyToState(const wire::StoredRecord &record, const wire::ConfigRecord &parsed)
 {
     if (!parsed.has_change()) {
         mState.skip(record.offset());
@@ -109,8 +113,8 @@
     ++mChangesSinceSnapshot;
 }
 
-void ConfigReplica::noteSnapshotChunk(const wire::StoredRecord &record,
-                                      const wire::SnapshotChunk &chunk, Instant now)
+void ConfigReplica::addSnapshotChunk(const wire::StoredRecord &record,
+                                     const wire::SnapshotChunk &chunk, Instant now)
 {
     if (!mAssembler.add(chunk)) {
         return;
@@ -119,9 +123,9 @@
     mChangesSinceSnapshot = 0;
 }
 
-void ConfigReplica::adopt(const wire::ConfigSnapshot &snapshot)
+void ConfigReplica::installSnapshot(const wire::ConfigSnapshot &snapshot)
 {
-    const bool newer = mState.isEmpty() || snapshot.as_of() > mState.asOf();
+    const bool newer = mState.isEmpty() || snapshot.as_of() > mState.lastOffset();
     if (!newer) {
         return;
     }
@@ -130,22 +134,22 @@
     mChangesSinceSnapshot = 0;
 }
 
-FeedResult ConfigReplica::feedPeer(const wire::ConfigUpdate &update, Instant now)
+ApplyResult ConfigReplica::applyPeerUpdate(const wire::ConfigUpdate &update, Instant now)
 {
     const std::uint64_t before = nextOffset();
     if (update.has_snapshot()) {
-        adopt(update.snapshot());
+        installSnapshot(update.snapshot());
     }
-    FeedResult result = FeedResult::Applied;
+    ApplyResult result = ApplyResult::Applied;
     for (const wire::StoredRecord &record : update.records()) {
         if (record.offset() > nextOffset()) {
-            result = FeedResult::Gap;
+            result = ApplyResult::Gap;
             break;
         }
-        feedOne(record, now);
+        applyRecord(record, now);
     }
     if (nextOffset() != before) {
-        notify();
+        notifyListener();
     }
     return result;
 }
@@ -158,9 +162,9 @@
         return std::nullopt;
     }
     wire::ConfigUpdate update;
-    update.set_covers_up_to(mState.asOf());
-    const bool tailReaches = !mTail.empty() && mTail.front().offset() <= peerNext;
-    if (!tailReaches) {
+    update.set_covers_up_to(mState.lastOffset());
+    const bool tailCoversPeer = !mTail.empty() && mTail.front().offset() <= peerNext;
+    if (!tailCoversPeer) {
         *update.mutable_snapshot() = mState.snapshot();
         return update;
     }
@@ -173,15 +177,15 @@
     return update;
 }
 
-void ConfigReplica::keep(const wire::StoredRecord &record)
+void ConfigReplica::addToTail(const wire::StoredRecord &record)
 {
     mTail.push_back(record);
-    if (mTail.size() > sTailKept) {
+    if (mTail.size() > sMaxTailRecords) {
         mTail.pop_front();
     }
 }
 
-void ConfigReplica::notify()
+void ConfigReplica::notifyListener()
 {
     if (mListener) {
         mListener();
--- a/src/libloomjunction/core/configreplica.h
+++ b/src/libloomjunction/core/configreplica.h
@@ -25,7 +25,7 @@
 namespace Loom {
 
 /** What feeding records to a ConfigReplica came to. */
-enum class FeedResult : std::uint8_t
+enum class ApplyResult : std::uint8_t
 {
     Applied, ///< everything offered is folded
     Gap, ///< records between the replica and the offered ones are missing
@@ -47,20 +47,20 @@
 
     /**
      * Feeds records read from the log, whose oldest kept offset is
-     * @p logFirst. When the log no longer reaches back to this replica the
+     * @p logStartOffset. When the log no longer reaches back to this replica the
      * records are held until a complete snapshot among them closes the gap.
      */
-    FeedResult feedLog(std::span<const wire::StoredRecord> records, std::uint64_t logFirst,
-                       Instant now);
+    ApplyResult applyLog(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset,
+                         Instant now);
 
     /** Feeds what a peer pushed. */
-    FeedResult feedPeer(const wire::ConfigUpdate &update, Instant now);
+    ApplyResult applyPeerUpdate(const wire::ConfigUpdate &update, Instant now);
 
     /** What a peer standing at @p offset lacks; nothing where it lacks nothing. */
     std::optional<wire::ConfigUpdate> updateFor(std::uint64_t offset, bool hasConfig) const;
 
     /** Offset the next log read must start from while a gap is open. */
-    std::uint64_t readFrom() const;
+    std::uint64_t nextReadOffset() const;
 
     /** Calls @p listener after each change of state. */
     void setListener(std::function<void()> listener) { mListener = std::move(listener); }
@@ -71,23 +71,23 @@
     std::optional<Instant> snapshotTime() const { return mSnapshotTime; }
 
     /** Records kept for peers that are a little behind. */
-    static constexpr std::size_t sTailKept = 512;
+    static constexpr std::size_t sMaxTailRecords = 512;
 
 private:
-    bool feedOne(const wire::StoredRecord &record, Instant now);
-    void fold(const wire::StoredRecord &record, const wire::ConfigRecord &parsed);
-    void noteSnapshotChunk(const wire::StoredRecord &record, const wire::SnapshotChunk &chunk,
-                           Instant now);
-    void adopt(const wire::ConfigSnapshot &snapshot);
-    FeedResult feedAcrossGap(std::span<const wire::StoredRecord> records, std::uint64_t logFirst,
-                             Instant now);
-    void keep(const wire::StoredRecord &record);
-    void notify();
+    bool applyRecord(const wire::StoredRecord &record, Instant now);
+    void applyToState(const wire::StoredRecord &record, const wire::ConfigRecord &parsed);
+    void addSnapshotChunk(const wire::StoredRecord &record, const wire::SnapshotChunk &chunk,
+                          Instant now);
+    void installSnapshot(const wire::ConfigSnapshot &snapshot);
+    ApplyResult applyAcrossGap(std::span<const wire::StoredRecord> records,
+                               std::uint64_t logStartOffset, Instant now);
+    void addToTail(const wire::StoredRecord &record);
+    void notifyListener();
 
     ConfigState mState;
     std::deque<wire::StoredRecord> mTail;
     SnapshotAssembler mAssembler;
-    std::vector<wire::StoredRecord> mHeld; // read beyond a gap, waiting for a snapshot
+    std::vector<wire::StoredRecord> mPendingRecords; // read beyond a gap, waiting for a snapshot
     std::function<void()> mListener;
     std::uint64_t mChangesSinceSnapshot = 0;
     std::optional<Instant> mSnapshotTime;
--- a/src/libloomjunction/core/configstate.cpp
+++ b/src/libloomjunction/core/configstate.cpp
@@ -20,20 +20,20 @@
 
 constexpr std::string_view sRootScope = "/";
 constexpr std::string_view sServedVersionKey = "model.version";
-constexpr std::string_view sSpreadVersionKey = "model.spread";
+constexpr std::string_view sPrefetchVersionKey = "model.spread";
 constexpr std::string_view sServicePrefix = "/service/";
 constexpr std::string_view sAccountPrefix = "/account/";
 // Versions that may stand in while a promoted one is not there yet.
-constexpr std::size_t sServedBeforeKept = 4;
-constexpr std::uint32_t sLeastChunkBytes = 1024;
-constexpr std::uint32_t sMostChunkBytes = 4 * 1024 * 1024;
+constexpr std::size_t sMaxPreviousVersions = 4;
+constexpr std::uint32_t sMinChunkBytes = 1024;
+constexpr std::uint32_t sMaxChunkBytes = 4 * 1024 * 1024;
 
-std::string joined(std::string_view prefix, std::string_view name)
+std::string joinScope(std::string_view prefix, std::string_view name)
 {
     return std::string(prefix) + std::string(name);
 }
 
-std::string summaryOf(const wire::ConfigOperation &operation)
+std::string describeOperation(const wire::ConfigOperation &operation)
 {
     switch (operation.operation_case()) {
     case wire::ConfigOperation::kSetValue:
@@ -54,19 +54,19 @@
     return "empty";
 }
 
-bool isTextOf(const std::string &json, std::string_view text)
+bool isJsonText(const std::string &json, std::string_view text)
 {
     return json == boost::json::serialize(boost::json::string(text));
 }
 
-std::string textOf(const std::string &json)
+std::string parseText(const std::string &json)
 {
     boost::system::error_code error;
     const boost::json::value value = boost::json::parse(json, error);
     return !error && value.is_string() ? std::string(value.as_string()) : std::string();
 }
 
-std::int64_t integerOf(const std::string &json)
+std::int64_t parseInteger(const std::string &json)
 {
     boost::system::error_code error;
     const boost::json::value value = boost::json::parse(json, error);
@@ -74,11 +74,12 @@
 }
 
 /** Puts @p before first among the versions that @p entry has served; @p now serves. */
-void noteServed(wire::ServiceEntry &entry, const std::string &before, const std::string &now)
+void recordPreviousVersion(wire::ServiceEntry &entry, const std::string &before,
+                           const std::string &now)
 {
     std::vector<std::string> served{before};
     for (const std::string &older : entry.served_before()) {
-        const bool kept = older != before && older != now && served.size() < sServedBeforeKept;
+        const bool kept = older != before && older != now && served.size() < sMaxPreviousVersions;
         if (kept) {
             served.push_back(older);
         }
@@ -88,26 +89,26 @@
 
 bool isVersionKey(std::string_view key)
 {
-    return key == sServedVersionKey || key == sSpreadVersionKey;
+    return key == sServedVersionKey || key == sPrefetchVersionKey;
 }
 
 } // namespace
 
 ChangeResult ConfigState::apply(const wire::ConfigChange &change, std::uint64_t offset)
 {
-    mAsOf = offset;
+    mLastOffset = offset;
     if (const auto known = fate(change.change_id())) {
         return *known;
     }
     ChangeResult result;
     result.offset = offset;
-    result.reason = performAll(change, offset);
+    result.reason = applyOperations(change, offset);
     result.accepted = result.reason.empty();
-    remember(change, result);
+    recordResult(change, result);
     return result;
 }
 
-std::string ConfigState::performAll(const wire::ConfigChange &change, std::uint64_t offset)
+std::string ConfigState::applyOperations(const wire::ConfigChange &change, std::uint64_t offset)
 {
     if (change.change_id().empty()) {
         return "changeId: expected text, found none";
@@ -121,18 +122,18 @@
     // ms a change at 1,000 services.
     Undo undo;
     for (const wire::ConfigOperation &operation : change.operations()) {
-        std::string reason = operationProblem(operation, change.base());
+        std::string reason = operationError(operation, change.base());
         if (!reason.empty()) {
             restore(undo);
             return reason;
         }
-        keepFor(undo, operation);
-        perform(operation, offset);
+        saveForUndo(undo, operation);
+        applyOperation(operation, offset);
     }
     return {};
 }
 
-void ConfigState::keepFor(Undo &undo, const wire::ConfigOperation &operation) const
+void ConfigState::saveForUndo(Undo &undo, const wire::ConfigOperation &operation) const
 {
     const auto keep = [](auto &kept, const auto &map, const auto &key) {
         const auto it = map.find(key);
@@ -142,7 +143,7 @@
     switch (operation.operation_case()) {
     case wire::ConfigOperation::kSetValue: {
         const wire::SetValue &set = operation.set_value();
-        const Place place{set.scope(), set.key()};
+        const EntryKey place{set.scope(), set.key()};
         keep(undo.settings, mSettings, place);
         keep(undo.removed, mRemoved, place);
         if (set.scope().starts_with(sServicePrefix)) {
@@ -151,7 +152,7 @@
         return;
     }
     case wire::ConfigOperation::kUnsetValue: {
-        const Place place{operation.unset_value().scope(), operation.unset_value().key()};
+        const EntryKey place{operation.unset_value().scope(), operation.unset_value().key()};
         keep(undo.settings, mSettings, place);
         keep(undo.removed, mRemoved, place);
         return;
@@ -164,7 +165,7 @@
         return;
     case wire::ConfigOperation::kPublishVersion: {
         const wire::PublishVersion &publish = operation.publish_version();
-        keep(undo.versions, mVersions, Place{publish.service(), publish.version()});
+        keep(undo.versions, mVersions, EntryKey{publish.service(), publish.version()});
         return;
     }
     case wire::ConfigOperation::OPERATION_NOT_SET:
@@ -174,7 +175,7 @@
 
 void ConfigState::restore(const Undo &undo)
 {
-    const auto putBack = [](auto &map, const auto &kept) {
+    const auto restoreEntries = [](auto &map, const auto &kept) {
         for (const auto &[key, before] : kept) {
             if (before) {
                 map[key] = *before;
@@ -183,33 +184,33 @@
             }
         }
     };
-    putBack(mSettings, undo.settings);
-    putBack(mRemoved, undo.removed);
-    putBack(mServices, undo.services);
-    putBack(mAccounts, undo.accounts);
-    putBack(mVersions, undo.versions);
+    restoreEntries(mSettings, undo.settings);
+    restoreEntries(mRemoved, undo.removed);
+    restoreEntries(mServices, undo.services);
+    restoreEntries(mAccounts, undo.accounts);
+    restoreEntries(mVersions, undo.versions);
 }
 
-std::string ConfigState::operationProblem(const wire::ConfigOperation &operation,
-                                          std::uint64_t base) const
+std::string ConfigState::operationError(const wire::ConfigOperation &operation,
+                                        std::uint64_t base) const
 {
     switch (operation.operation_case()) {
     case wire::ConfigOperation::kSetValue:
-        return setProblem(operation.set_value(), base);
+        return setError(operation.set_value(), base);
     case wire::ConfigOperation::kUnsetValue: {
         const wire::UnsetValue &unset = operation.unset_value();
         if (!mSettings.contains({unset.scope(), unset.key()})) {
             return "unset: no value of '" + unset.key() + "' at " + unset.scope();
         }
-        if (isNewerThan(unset.scope(), unset.key(), base)) {
+        if (isChangedSince(unset.scope(), unset.key(), base)) {
             return "race: '" + unset.key() + "' at " + unset.scope() + " changed since the base";
         }
         return {};
     }
     case wire::ConfigOperation::kCreateService: {
         const wire::CreateService &create = operation.create_service();
-        if (const auto wrong = scopeProblem(joined(sServicePrefix, create.name()))) {
-            return *wrong;
+        if (const auto error = scopeError(joinScope(sServicePrefix, create.name()))) {
+            return *error;
         }
         if (mServices.contains(create.name())) {
             return "service '" + create.name() + "' exists";
@@ -221,23 +222,23 @@
     }
     case wire::ConfigOperation::kCreateAccount: {
         const std::string &name = operation.create_account().name();
-        if (const auto wrong = scopeProblem(joined(sAccountPrefix, name))) {
-            return *wrong;
+        if (const auto error = scopeError(joinScope(sAccountPrefix, name))) {
+            return *error;
         }
         return hasAccount(name) ? "account '" + name + "' exists" : std::string();
     }
     case wire::ConfigOperation::kPublishVersion:
-        return versionProblem(operation.publish_version());
+        return versionError(operation.publish_version());
     case wire::ConfigOperation::OPERATION_NOT_SET:
         return "operation: expected one of the known kinds, found none";
     }
     return "operation: unreadable";
 }
 
-std::string ConfigState::scopeTargetProblem(std::string_view scope) const
+std::string ConfigState::scopeTargetError(std::string_view scope) const
 {
-    if (const auto wrong = scopeProblem(scope)) {
-        return *wrong;
+    if (const auto error = scopeError(scope)) {
+        return *error;
     }
     if (scope.starts_with(sServicePrefix)
         && service(scope.substr(sServicePrefix.size())) == nullptr) {
@@ -249,25 +250,25 @@
     return {};
 }
 
-std::string ConfigState::setProblem(const wire::SetValue &set, std::uint64_t base) const
+std::string ConfigState::setError(const wire::SetValue &set, std::uint64_t base) const
 {
-    if (std::string wrong = scopeTargetProblem(set.scope()); !wrong.empty()) {
-        return wrong;
+    if (std::string error = scopeTargetError(set.scope()); !error.empty()) {
+        return error;
     }
-    if (const auto wrong = settingProblem(set.key(), set.value())) {
-        return *wrong;
+    if (const auto error = settingError(set.key(), set.value())) {
+        return *error;
     }
-    if (isNewerThan(set.scope(), set.key(), base)) {
+    if (isChangedSince(set.scope(), set.key(), base)) {
         return "race: '" + set.key() + "' at " + set.scope() + " changed since the base";
     }
-    if (!isVersionKey(set.key()) || isTextOf(set.value(), "")) {
+    if (!isVersionKey(set.key()) || isJsonText(set.value(), "")) {
         return {};
     }
     if (!set.scope().starts_with(sServicePrefix)) {
         return "setting '" + set.key() + "': expected at a service, found at " + set.scope();
     }
     const std::string name = set.scope().substr(sServicePrefix.size());
-    const std::string wanted = textOf(set.value());
+    const std::string wanted = parseText(set.value());
     if (version(name, wanted) == nullptr) {
         return "setting '" + set.key() + "': service '" + name + "' has no version '" + wanted
             + "'";
@@ -275,9 +276,9 @@
     return {};
 }
 
-std::string ConfigState::versionProblem(const wire::PublishVersion &publish) const
+std::string ConfigState::versionError(const wire::PublishVersion &publish) const
 {
-    constexpr std::size_t sDigestCharacters = 64;
+    constexpr std::size_t sDigestLength = 64;
     const wire::ServiceEntry *owner = service(publish.service());
     if (owner == nullptr) {
         return "service '" + publish.service() + "' is not known";
@@ -288,16 +289,16 @@
     if (publish.version().empty()) {
         return "version: expected a name, found none";
     }
-    if (publish.manifest_digest().size() != sDigestCharacters) {
+    if (publish.manifest_digest().size() != sDigestLength) {
         return "manifestDigest: expected 64 hex characters, found '" + publish.manifest_digest()
             + "'";
     }
     if (publish.size_bytes() == 0) {
         return "sizeBytes: expected more than 0";
     }
-    if (publish.chunk_bytes() < sLeastChunkBytes || publish.chunk_bytes() > sMostChunkBytes) {
-        return "chunkBytes: expected " + std::to_string(sLeastChunkBytes) + " to "
-            + std::to_string(sMostChunkBytes) + ", found " + std::to_string(publish.chunk_bytes());
+    if (publish.chunk_bytes() < sMinChunkBytes || publish.chunk_bytes() > sMaxChunkBytes) {
+        return "chunkBytes: expected " + std::to_string(sMinChunkBytes) + " to "
+            + std::to_string(sMaxChunkBytes) + ", found " + std::to_string(publish.chunk_bytes());
     }
     // A version's name never means two sets of weights, or answers could not be checked.
     if (version(publish.service(), publish.version()) != nullptr) {
@@ -306,13 +307,14 @@
     return {};
 }
 
-bool ConfigState::isNewerThan(const std::string &scope, const std::string &key,
-                              std::uint64_t base) const
+bool ConfigState::isChangedSince(const std::string &scope, const std::string &key,
+                                 std::uint64_t base) const
 {
-    const bool nothingSeen = base == sNothing;
+    const bool hasNoBase = base == sNoOffset;
     // What the change being folded has itself written is no race.
-    const auto newer
-        = [&](std::uint64_t offset) { return offset != mAsOf && (nothingSeen || offset > base); };
+    const auto newer = [&](std::uint64_t offset) {
+        return offset != mLastOffset && (hasNoBase || offset > base);
+    };
     if (const auto it = mSettings.find({scope, key}); it != mSettings.end()) {
         return newer(it->second.offset);
     }
@@ -320,11 +322,11 @@
     return removed != mRemoved.end() && newer(removed->second);
 }
 
-void ConfigState::perform(const wire::ConfigOperation &operation, std::uint64_t offset)
+void ConfigState::applyOperation(const wire::ConfigOperation &operation, std::uint64_t offset)
 {
     switch (operation.operation_case()) {
     case wire::ConfigOperation::kSetValue:
-        performSet(operation.set_value(), offset);
+        applySet(operation.set_value(), offset);
         return;
     case wire::ConfigOperation::kUnsetValue: {
         const wire::UnsetValue &unset = operation.unset_value();
@@ -360,14 +362,14 @@
     }
 }
 
-void ConfigState::performSet(const wire::SetValue &set, std::uint64_t offset)
+void ConfigState::applySet(const wire::SetValue &set, std::uint64_t offset)
 {
     SettingValue &value = mSettings[{set.scope(), set.key()}];
     if (set.key() == sServedVersionKey && set.scope().starts_with(sServicePrefix)) {
         const auto it = mServices.find(set.scope().substr(sServicePrefix.size()));
-        const std::string before = textOf(value.json);
-        if (it != mServices.end() && !before.empty() && !isTextOf(set.value(), before)) {
-            noteServed(it->second, before, textOf(set.value()));
+        const std::string before = parseText(value.json);
+        if (it != mServices.end() && !before.empty() && !isJsonText(set.value(), before)) {
+            recordPreviousVersion(it->second, before, parseText(set.value()));
         }
     }
     value.json = set.value();
@@ -375,7 +377,7 @@
     mRemoved.erase({set.scope(), set.key()});
 }
 
-void ConfigState::remember(const wire::ConfigChange &change, const ChangeResult &result)
+void ConfigState::recordResult(const wire::ConfigChange &change, const ChangeResult &result)
 {
     wire::ChangeFate &entry = mFates.emplace_back();
     entry.set_change_id(change.change_id());
@@ -385,11 +387,11 @@
     entry.set_author(change.author());
     std::string summary;
     for (const wire::ConfigOperation &operation : change.operations()) {
-        summary += (summary.empty() ? "" : "; ") + summaryOf(operation);
+        summary += (summary.empty() ? "" : "; ") + describeOperation(operation);
     }
     entry.set_summary(summary);
     mFateById[change.change_id()] = result;
-    if (mFates.size() > sFatesKept) {
+    if (mFates.size() > sMaxFates) {
         mFateById.erase(mFates.front().change_id());
         mFates.pop_front();
     }
@@ -407,12 +409,12 @@
 
 ExplainedValue ConfigState::explain(std::string_view serviceName, std::string_view key) const
 {
-    if (const auto own = valueAt(joined(sServicePrefix, serviceName), key)) {
+    if (const auto own = valueAt(joinScope(sServicePrefix, serviceName), key)) {
         return *own;
     }
     const wire::ServiceEntry *entry = service(serviceName);
     if (entry != nullptr && !entry->account().empty()) {
-        if (const auto value = valueAt(joined(sAccountPrefix, entry->account()), key)) {
+        if (const auto value = valueAt(joinScope(sAccountPrefix, entry->account()), key)) {
             return *value;
         }
     }
@@ -425,20 +427,20 @@
         return *value;
     }
     const SettingSpec *spec = findSetting(key);
-    return ExplainedValue{spec == nullptr ? "null" : std::string(spec->standard), "", 0};
+    return ExplainedValue{spec == nullptr ? "null" : std::string(spec->defaultJson), "", 0};
 }
 
 std::uint32_t ConfigState::accountWeight(std::string_view account) const
 {
     constexpr std::string_view sKey = "admission.weight";
-    const auto own = valueAt(joined(sAccountPrefix, account), sKey);
+    const auto own = valueAt(joinScope(sAccountPrefix, account), sKey);
     const std::string json = own ? own->json : explain("", sKey).json;
-    return static_cast<std::uint32_t>(integerOf(json));
+    return static_cast<std::uint32_t>(parseInteger(json));
 }
 
 std::int64_t ConfigState::integer(std::string_view serviceName, std::string_view key) const
 {
-    return integerOf(explain(serviceName, key).json);
+    return parseInteger(explain(serviceName, key).json);
 }
 
 bool ConfigState::isTrue(std::string_view serviceName, std::string_view key) const
@@ -448,7 +450,7 @@
 
 std::string ConfigState::text(std::string_view serviceName, std::string_view key) const
 {
-    return textOf(explain(serviceName, key).json);
+    return parseText(explain(serviceName, key).json);
 }
 
 const wire::ServiceEntry *ConfigState::service(std::string_view name) const
@@ -478,7 +480,7 @@
 wire::ConfigSnapshot ConfigState::snapshot() const
 {
     wire::ConfigSnapshot out;
-    out.set_as_of(mAsOf);
+    out.set_as_of(mLastOffset);
     const auto write = [](wire::SettingEntry &entry, const auto &place) {
         entry.set_scope(place.first);
         entry.set_key(place.second);
@@ -512,7 +514,7 @@
 ConfigState ConfigState::fromSnapshot(const wire::ConfigSnapshot &snapshot)
 {
     ConfigState state;
-    state.mAsOf = snapshot.as_of();
+    state.mLastOffset = snapshot.as_of();
     for (const wire::SettingEntry &entry : snapshot.settings()) {
         state.mSettings[{entry.scope(), entry.key()}] = {entry.value(), entry.offset()};
     }
--- a/src/libloomjunction/core/configstate.h
+++ b/src/libloomjunction/core/configstate.h
@@ -54,11 +54,11 @@
     ChangeResult apply(const wire::ConfigChange &change, std::uint64_t offset);
 
     /** Notes that @p offset holds nothing to fold (snapshot or unreadable record). */
-    void skip(std::uint64_t offset) { mAsOf = offset; }
+    void skip(std::uint64_t offset) { mLastOffset = offset; }
 
     /** Offset of the last record folded; -1 (all ones) before the first. */
-    std::uint64_t asOf() const { return mAsOf; }
-    bool isEmpty() const { return mAsOf == sNothing; }
+    std::uint64_t lastOffset() const { return mLastOffset; }
+    bool isEmpty() const { return mLastOffset == sNoOffset; }
 
     /**
      * The value of @p key for @p service: the service's own, else its client
@@ -99,37 +99,37 @@
     wire::ConfigSnapshot snapshot() const;
     static ConfigState fromSnapshot(const wire::ConfigSnapshot &snapshot);
 
-    static constexpr std::uint64_t sNothing = ~std::uint64_t{0};
+    static constexpr std::uint64_t sNoOffset = ~std::uint64_t{0};
     /** Change ids remembered, so that a repeated append folds to nothing. */
-    static constexpr std::size_t sFatesKept = 2048;
+    static constexpr std::size_t sMaxFates = 2048;
 
 private:
-    using Place = std::pair<std::string, std::string>; ///< scope and key, or service and version
+    using EntryKey = std::pair<std::string, std::string>; ///< scope and key, or service and version
 
     /** What a change has touched, as it was before; nothing: it was not there. */
     struct Undo
     {
-        std::map<Place, std::optional<SettingValue>> settings;
-        std::map<Place, std::optional<std::uint64_t>> removed;
+        std::map<EntryKey, std::optional<SettingValue>> settings;
+        std::map<EntryKey, std::optional<std::uint64_t>> removed;
         std::map<std::string, std::optional<wire::ServiceEntry>> services;
         std::map<std::string, std::optional<wire::AccountEntry>> accounts;
-        std::map<Place, std::optional<wire::VersionEntry>> versions;
+        std::map<EntryKey, std::optional<wire::VersionEntry>> versions;
     };
 
-    std::string performAll(const wire::ConfigChange &change, std::uint64_t offset);
-    void keepFor(Undo &undo, const wire::ConfigOperation &operation) const;
+    std::string applyOperations(const wire::ConfigChange &change, std::uint64_t offset);
+    void saveForUndo(Undo &undo, const wire::ConfigOperation &operation) const;
     void restore(const Undo &undo);
-    std::string operationProblem(const wire::ConfigOperation &operation, std::uint64_t base) const;
-    std::string setProblem(const wire::SetValue &set, std::uint64_t base) const;
-    std::string versionProblem(const wire::PublishVersion &publish) const;
-    std::string scopeTargetProblem(std::string_view scope) const;
-    bool isNewerThan(const std::string &scope, const std::string &key, std::uint64_t base) const;
-    void perform(const wire::ConfigOperation &operation, std::uint64_t offset);
-    void performSet(const wire::SetValue &set, std::uint64_t offset);
-    void remember(const wire::ConfigChange &change, const ChangeResult &result);
+    std::string operationError(const wire::ConfigOperation &operation, std::uint64_t base) const;
+    std::string setError(const wire::SetValue &set, std::uint64_t base) const;
+    std::string versionError(const wire::PublishVersion &publish) const;
+    std::string scopeTargetError(std::string_view scope) const;
+    bool isChangedSince(const std::string &scope, const std::string &key, std::uint64_t base) const;
+    void applyOperation(const wire::ConfigOperation &operation, std::uint64_t offset);
+    void applySet(const wire::SetValue &set, std::uint64_t offset);
+    void recordResult(const wire::ConfigChange &change, const ChangeResult &result);
     std::optional<ExplainedValue> valueAt(const std::string &scope, std::string_view key) const;
 
-    std::uint64_t mAsOf = sNothing;
+    std::uint64_t mLastOffset = sNoOffset;
     std::map<std::pair<std::string, std::string>, SettingValue> mSettings;
     std::map<std::pair<std::string, std::string>, std::uint64_t> mRemoved;
     std::map<std::string, wire::ServiceEntry, std::less<>> mServices;
--- a/src/libloomjunction/core/oncekey.cpp
+++ b/src/libloomjunction/core/idempotencykey.cpp
@@ -1,12 +1,12 @@
 /*
- * oncekey.cpp
+ * idempotencykey.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "oncekey.h"
+#include "idempotencykey.h"
 
 #include <array>
 #include <charconv>
@@ -18,9 +18,9 @@
 namespace {
 
 constexpr std::size_t sUuidLength = 36;
-constexpr std::size_t sIssuedParts = 5;
-constexpr std::size_t sLongestKey = 256;
-constexpr std::string_view sIssuedMark = "lk1";
+constexpr std::size_t sIssuedKeyFieldCount = 5;
+constexpr std::size_t sMaxKeyLength = 256;
+constexpr std::string_view sIssuedKeyPrefix = "lk1";
 
 template <class Number> bool parseNumber(std::string_view text, Number &out, int base)
 {
@@ -45,45 +45,46 @@
 
 std::string IssuedKey::text() const
 {
-    return std::string(sIssuedMark) + ":" + unique + ":" + homeBox + ":"
+    return std::string(sIssuedKeyPrefix) + ":" + uuid + ":" + homeBox + ":"
         + std::to_string(homeIncarnation) + ":" + std::to_string(expires.count());
 }
 
-tl::expected<OnceKey, std::string> parseOnceKey(std::string_view text)
+tl::expected<IdempotencyKey, std::string> parseIdempotencyKey(std::string_view text)
 {
-    if (text.size() > sLongestKey) {
+    if (text.size() > sMaxKeyLength) {
         return tl::unexpected("Loom-Key: expected at most 256 characters, found "
                               + std::to_string(text.size()));
     }
-    if (!text.starts_with(sIssuedMark)) {
-        const auto born = uuid7Time(text);
-        if (!born) {
+    if (!text.starts_with(sIssuedKeyPrefix)) {
+        const auto createdAt = uuid7Time(text);
+        if (!createdAt) {
             return tl::unexpected("Loom-Key: expected an issued key or a UUIDv7, found '"
                                   + std::string(text) + "'");
         }
-        return CallerKey{std::string(text), *born};
+        return CallerKey{std::string(text), *createdAt};
     }
     const std::vector<std::string_view> parts = split(text, ':');
     IssuedKey key;
     std::int64_t expires = 0;
-    const bool whole = parts.size() == sIssuedParts && uuid7Time(parts[1]) && !parts[2].empty()
-        && parseNumber(parts[3], key.homeIncarnation, 10) && parseNumber(parts[4], expires, 10);
+    const bool whole = parts.size() == sIssuedKeyFieldCount && uuid7Time(parts[1])
+        && !parts[2].empty() && parseNumber(parts[3], key.homeIncarnation, 10)
+        && parseNumber(parts[4], expires, 10);
     if (!whole) {
         return tl::unexpected("Loom-Key: expected lk1:UUIDv7:BOX:INCARNATION:EXPIRY, found '"
                               + std::string(text) + "'");
     }
-    key.unique = parts[1];
+    key.uuid = parts[1];
     key.homeBox = parts[2];
     key.expires = WallMilliseconds(expires);
     return key;
 }
 
-std::string makeUuid7(WallMilliseconds born, std::uint64_t randomHigh, std::uint64_t randomLow)
+std::string makeUuid7(WallMilliseconds createdAt, std::uint64_t randomHigh, std::uint64_t randomLow)
 {
     constexpr std::uint64_t sVersion = 0x7000;
     constexpr std::uint64_t sVariant = 0x8000'0000'0000'0000ULL;
     constexpr std::uint64_t sVariantMask = 0x3FFF'FFFF'FFFF'FFFFULL;
-    const auto time = static_cast<std::uint64_t>(born.count()) & 0xFFFF'FFFF'FFFFULL;
+    const auto time = static_cast<std::uint64_t>(createdAt.count()) & 0xFFFF'FFFF'FFFFULL;
     const std::uint64_t low = (randomLow & sVariantMask) | sVariant;
     std::array<char, sUuidLength + 1> text{};
     std::snprintf(text.data(), text.size(), "%08llx-%04llx-%04llx-%04llx-%012llx",
--- a/src/libloomjunction/core/oncekey.h
+++ b/src/libloomjunction/core/idempotencykey.h
@@ -1,5 +1,5 @@
 /*
- * oncekey.h
+ * idempotencykey.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -27,7 +27,7 @@
  */
 struct IssuedKey
 {
-    std::string unique; ///< UUIDv7
+    std::string uuid; ///< UUIDv7
     std::string homeBox; ///< agent that runs it
     std::uint64_t homeIncarnation = 0;
     WallMilliseconds expires{0};
@@ -38,24 +38,25 @@
 /** A caller's own UUIDv7; where it runs is settled by a claim in the log. */
 struct CallerKey
 {
-    std::string unique;
-    WallMilliseconds born{0};
+    std::string uuid;
+    WallMilliseconds createdAt{0};
 };
 
-using OnceKey = std::variant<IssuedKey, CallerKey>;
+using IdempotencyKey = std::variant<IssuedKey, CallerKey>;
 
 /** Reads a key as a caller sent it; the error names what was expected. */
-tl::expected<OnceKey, std::string> parseOnceKey(std::string_view text);
+tl::expected<IdempotencyKey, std::string> parseIdempotencyKey(std::string_view text);
 
 /** A UUIDv7 of @p born with @p random bits. */
-std::string makeUuid7(WallMilliseconds born, std::uint64_t randomHigh, std::uint64_t randomLow);
+std::string makeUuid7(WallMilliseconds createdAt, std::uint64_t randomHigh,
+                      std::uint64_t randomLow);
 
 /** The time inside a UUIDv7; nothing when @p text is none. */
 std::optional<WallMilliseconds> uuid7Time(std::string_view text);
 
 /** For how long after its birth a key may be used. */
-constexpr Milliseconds sKeyWindow{600'000};
+constexpr Milliseconds sKeyLifetime{600'000};
 /** How far the clocks of two boxes may differ; stated to operators. */
-constexpr Milliseconds sClockSkew{120'000};
+constexpr Milliseconds sMaxClockSkew{120'000};
 
 } // namespace Loom
--- a/src/libloomjunction/core/oncetable.cpp
+++ b/src/libloomjunction/core/idempotencytable.cpp
@@ -1,14 +1,14 @@
 /*
- * oncetable.cpp
+ * idempotencytable.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "oncetable.h"
+#include "idempotencytable.h"
 
-#include "oncekey.h"
+#include "idempotencykey.h"
 
 namespace Loom {
 
@@ -17,51 +17,51 @@
 constexpr Milliseconds sFullRetryAfter{5'000};
 
 // A key is remembered for longer than any box may still think it usable.
-constexpr Milliseconds sRemembered = sKeyWindow + 2 * sClockSkew;
+constexpr Milliseconds sKeyRetention = sKeyLifetime + 2 * sMaxClockSkew;
 
 } // namespace
 
-OnceDecision OnceTable::begin(std::string_view key, std::uint64_t homeIncarnation,
-                              WallMilliseconds expires, WallMilliseconds wallNow, Instant now)
+KeyDecision IdempotencyTable::begin(std::string_view key, std::uint64_t homeIncarnation,
+                                    WallMilliseconds expires, WallMilliseconds wallNow, Instant now)
 {
-    forgetOld(now);
+    removeExpired(now);
     if (homeIncarnation != mIncarnation) {
-        return OnceUnknown{UnknownReason::HomeGone};
+        return KeyUnknown{UnknownReason::HomeGone};
     }
     const auto it = mKeys.find(std::string(key));
     if (it != mKeys.end()) {
         if (const auto *answer = std::get_if<StoredAnswer>(&it->second)) {
-            return OnceReplay{*answer};
+            return KeyReplay{*answer};
         }
         if (const auto *reason = std::get_if<UnknownReason>(&it->second)) {
-            return OnceUnknown{*reason};
+            return KeyUnknown{*reason};
         }
         if (const auto *refusal = std::get_if<NotRun>(&it->second)) {
-            return OnceRefused{*refusal};
+            return KeyRefused{*refusal};
         }
-        return OnceBusy{};
+        return KeyBusy{};
     }
     // An expiry further away than the window was made by no entry of ours; it
     // could outlive the memory of the key.
-    if (wallNow >= expires || expires - wallNow > sKeyWindow + sClockSkew) {
-        return OnceUnknown{UnknownReason::KeyExpired};
+    if (wallNow >= expires || expires - wallNow > sKeyLifetime + sMaxClockSkew) {
+        return KeyUnknown{UnknownReason::KeyExpired};
     }
-    if (mKeys.size() >= sMost) {
-        return OnceFull{sFullRetryAfter};
+    if (mKeys.size() >= sMaxKeys) {
+        return KeyTableFull{sFullRetryAfter};
     }
     mKeys.emplace(std::string(key), Running{});
-    mOrder.push_back({std::string(key), now + sRemembered});
-    return OnceRun{};
+    mByAge.push_back({std::string(key), now + sKeyRetention});
+    return KeyRun{};
 }
 
-void OnceTable::finishAnswered(std::string_view key, StoredAnswer answer, Instant now)
+void IdempotencyTable::finishAnswered(std::string_view key, StoredAnswer answer, Instant now)
 {
     const auto it = mKeys.find(std::string(key));
     if (it == mKeys.end()) {
         return;
     }
     const std::size_t size = answer.body.size();
-    if (size > sMostBodyBytes || mStoredBytes + size > sMostStoredBytes) {
+    if (size > sMaxBodyBytes || mStoredBytes + size > sMaxStoredBytes) {
         finishUnknown(key, UnknownReason::LinkCut, now);
         return;
     }
@@ -69,7 +69,7 @@
     it->second = std::move(answer);
 }
 
-void OnceTable::finishNotRun(std::string_view key, NotRun refusal)
+void IdempotencyTable::finishNotRun(std::string_view key, NotRun refusal)
 {
     const auto it = mKeys.find(std::string(key));
     if (it != mKeys.end()) {
@@ -77,7 +77,7 @@
     }
 }
 
-void OnceTable::finishUnknown(std::string_view key, UnknownReason reason, Instant)
+void IdempotencyTable::finishUnknown(std::string_view key, UnknownReason reason, Instant)
 {
     const auto it = mKeys.find(std::string(key));
     if (it != mKeys.end()) {
@@ -85,16 +85,16 @@
     }
 }
 
-void OnceTable::forgetOld(Instant now)
+void IdempotencyTable::removeExpired(Instant now)
 {
-    while (!mOrder.empty() && mOrder.front().until < now) {
-        const auto it = mKeys.find(mOrder.front().key);
+    while (!mByAge.empty() && mByAge.front().expiresAt < now) {
+        const auto it = mKeys.find(mByAge.front().key);
         if (it != mKeys.end()) {
             const auto *answer = std::get_if<StoredAnswer>(&it->second);
             mStoredBytes -= answer == nullptr ? 0 : answer->body.size();
             mKeys.erase(it);
         }
-        mOrder.pop_front();
+        mByAge.pop_front();
     }
 }
 
--- a/src/libloomjunction/core/oncetable.h
+++ b/src/libloomjunction/core/idempotencytable.h
@@ -1,5 +1,5 @@
 /*
- * oncetable.h
+ * idempotencytable.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -26,48 +26,47 @@
     std::string body;
 };
 
-struct OnceRun
+struct KeyRun
 {
 }; ///< run it now; finish() must follow
-struct OnceBusy
+struct KeyBusy
 {
 }; ///< it runs; wait for finish()
-struct OnceReplay
+struct KeyReplay
 {
     StoredAnswer answer;
 }; ///< it ran; here is its whole answer
-struct OnceUnknown
+struct KeyUnknown
 {
     UnknownReason reason;
 }; ///< it may have run and must not again
-struct OnceRefused
+struct KeyRefused
 {
     NotRun refusal;
 }; ///< it was refused and never runs
-struct OnceFull
+struct KeyTableFull
 {
     Milliseconds retryAfter;
 }; ///< no room to remember it: not run
 
-using OnceDecision
-    = std::variant<OnceRun, OnceBusy, OnceReplay, OnceUnknown, OnceRefused, OnceFull>;
+using KeyDecision = std::variant<KeyRun, KeyBusy, KeyReplay, KeyUnknown, KeyRefused, KeyTableFull>;
 
 /**
  * The memory of one agent incarnation for calls that may run at most once.
  * A key that it has begun is never begun again; a key it may have forgotten
  * is refused as unknown. Owned by the agent's call gate.
  */
-class OnceTable
+class IdempotencyTable
 {
 public:
-    explicit OnceTable(std::uint64_t incarnation)
+    explicit IdempotencyTable(std::uint64_t incarnation)
         : mIncarnation(incarnation)
     {
     }
 
     /** Decides on @p key, which may run in @p homeIncarnation only, until @p expires. */
-    OnceDecision begin(std::string_view key, std::uint64_t homeIncarnation,
-                       WallMilliseconds expires, WallMilliseconds wallNow, Instant now);
+    KeyDecision begin(std::string_view key, std::uint64_t homeIncarnation, WallMilliseconds expires,
+                      WallMilliseconds wallNow, Instant now);
 
     /** The upstream's whole answer is known. */
     void finishAnswered(std::string_view key, StoredAnswer answer, Instant now);
@@ -82,10 +81,10 @@
     std::size_t size() const { return mKeys.size(); }
 
     /** Keys remembered at most; beyond, calls are refused rather than forgotten. */
-    static constexpr std::size_t sMost = 100'000;
+    static constexpr std::size_t sMaxKeys = 100'000;
     /** Larger answers are not kept: a repeat hears that it ran, as unknown. */
-    static constexpr std::size_t sMostBodyBytes = std::size_t{64} * 1024;
-    static constexpr std::size_t sMostStoredBytes = std::size_t{32} * 1024 * 1024;
+    static constexpr std::size_t sMaxBodyBytes = std::size_t{64} * 1024;
+    static constexpr std::size_t sMaxStoredBytes = std::size_t{32} * 1024 * 1024;
 
 private:
     struct Running
@@ -93,17 +92,17 @@
     };
     using State = std::variant<Running, StoredAnswer, UnknownReason, NotRun>;
 
-    struct Remembered
+    struct KeyExpiry
     {
         std::string key;
-        Instant until;
+        Instant expiresAt;
     };
 
-    void forgetOld(Instant now);
+    void removeExpired(Instant now);
 
     std::uint64_t mIncarnation;
     std::unordered_map<std::string, State> mKeys;
-    std::deque<Remembered> mOrder;
+    std::deque<KeyExpiry> mByAge;
     std::size_t mStoredBytes = 0;
 };
 
--- a/src/libloomjunction/core/linebudget.h
+++ b/src/libloomjunction/core/logratelimiter.h
@@ -1,5 +1,5 @@
 /*
- * linebudget.h
+ * logratelimiter.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -19,38 +19,38 @@
 namespace Loom {
 
 /** Lines of one event that were left out. */
-struct LinesLeftOut
+struct SuppressedLines
 {
     std::string event;
     std::uint64_t count = 0;
 };
 
 /** Bounds the lines of each event per second, and counts what was left out. */
-class LineBudget
+class LogRateLimiter
 {
 public:
-    explicit LineBudget(std::uint32_t linesPerSecond)
+    explicit LogRateLimiter(std::uint32_t linesPerSecond)
         : mLinesPerSecond(linesPerSecond)
     {
     }
 
     /** Whether a line of @p event may be written now. */
-    bool take(std::string_view event, Instant now);
+    bool allow(std::string_view event, Instant now);
     /** What was left out in a second that is over; nothing where nothing was. */
-    std::optional<LinesLeftOut> leftOut(Instant now);
+    std::optional<SuppressedLines> takeSuppressed(Instant now);
 
 private:
-    struct Second
+    struct EventCounter
     {
         std::int64_t number = 0;
         std::uint32_t written = 0;
-        std::uint64_t leftOut = 0;
+        std::uint64_t suppressed = 0;
     };
 
-    static std::int64_t secondOf(Instant now);
+    static std::int64_t secondIndex(Instant now);
 
     std::uint32_t mLinesPerSecond;
-    std::map<std::string, Second, std::less<>> mEvents;
+    std::map<std::string, EventCounter, std::less<>> mEvents;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/manifest.cpp
+++ b/src/libloomjunction/core/manifest.cpp
@@ -20,10 +20,10 @@
 
 namespace json = boost::json;
 
-constexpr std::uint32_t sMostChunks = 4'000'000;
-constexpr std::size_t sDigestCharacters = 64;
+constexpr std::uint32_t sMaxChunks = 4'000'000;
+constexpr std::size_t sDigestLength = 64;
 
-std::string missing(std::string_view field, std::string_view expected)
+std::string fieldError(std::string_view field, std::string_view expected)
 {
     return "manifest field '" + std::string(field) + "': expected " + std::string(expected);
 }
@@ -32,7 +32,7 @@
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr || !value->is_string()) {
-        return tl::unexpected(missing(name, "text"));
+        return tl::unexpected(fieldError(name, "text"));
     }
     return std::string(value->as_string());
 }
@@ -42,7 +42,7 @@
 {
     const json::value *value = object.if_contains(name);
     if (value == nullptr || !value->is_int64() || value->as_int64() <= 0) {
-        return tl::unexpected(missing(name, "a whole number above 0"));
+        return tl::unexpected(fieldError(name, "a whole number above 0"));
     }
     return static_cast<std::uint64_t>(value->as_int64());
 }
@@ -96,23 +96,23 @@
     }
     const std::uint64_t count = (*size + *chunk - 1) / *chunk;
     const json::value *chunks = object.if_contains("chunks");
-    const bool fits = chunks != nullptr && chunks->is_array() && count <= sMostChunks
+    const bool fits = chunks != nullptr && chunks->is_array() && count <= sMaxChunks
         && chunks->as_array().size() == count;
     if (!fits) {
-        return tl::unexpected(missing("chunks", std::to_string(count) + " digests"));
+        return tl::unexpected(fieldError("chunks", std::to_string(count) + " digests"));
     }
     Manifest manifest{*service, *version, *size, static_cast<std::uint32_t>(*chunk), {}, *whole};
     for (const json::value &digest : chunks->as_array()) {
-        if (!digest.is_string() || digest.as_string().size() != sDigestCharacters) {
-            return tl::unexpected(missing("chunks", "64 hex characters each"));
+        if (!digest.is_string() || digest.as_string().size() != sDigestLength) {
+            return tl::unexpected(fieldError("chunks", "64 hex characters each"));
         }
         manifest.chunkDigests.emplace_back(digest.as_string());
     }
     return manifest;
 }
 
-Manifest Manifest::ofWeights(std::string_view service, std::string_view version,
-                             std::span<const std::byte> weights, std::uint32_t chunkBytes)
+Manifest Manifest::fromWeights(std::string_view service, std::string_view version,
+                               std::span<const std::byte> weights, std::uint32_t chunkBytes)
 {
     Manifest manifest;
     manifest.service = service;
--- a/src/libloomjunction/core/manifest.h
+++ b/src/libloomjunction/core/manifest.h
@@ -37,8 +37,8 @@
     static tl::expected<Manifest, std::string> parse(std::string_view text);
 
     /** Computes the manifest of @p weights. */
-    static Manifest ofWeights(std::string_view service, std::string_view version,
-                              std::span<const std::byte> weights, std::uint32_t chunkBytes);
+    static Manifest fromWeights(std::string_view service, std::string_view version,
+                                std::span<const std::byte> weights, std::uint32_t chunkBytes);
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/orderlease.cpp
+++ b/src/libloomjunction/core/orderlease.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr Milliseconds sClaimRetry{1'000};
+constexpr Milliseconds sClaimRetryDelay{1'000};
 // A claim is renewed once less than this part of it is left.
-constexpr int sRenewAtFraction = 3;
-constexpr std::size_t sMostSent = 64;
+constexpr int sRenewalDivisor = 3;
+constexpr std::size_t sMaxUnconfirmedClaims = 64;
 
 } // namespace
 
@@ -30,15 +30,16 @@
 
 std::optional<wire::OrderLeaseClaim> OrderLease::claimIfDue(Instant now)
 {
-    const bool fresh = mFence && mHeldUntil - now > mOptions.duration / sRenewAtFraction;
+    const bool fresh = mFencingNumber && mHeldUntil - now > mOptions.duration / sRenewalDivisor;
     // Against another's running term a claim would only push that one out.
-    const bool othersRun = !mFence && !mOptions.engineChecks && now < mOthersEnd;
-    if (fresh || othersRun || now < mNextClaimAt) {
+    const bool otherLeaseActive
+        = !mFencingNumber && !mOptions.engineChecksFence && now < mOtherLeasesEnd;
+    if (fresh || otherLeaseActive || now < mNextClaimAt) {
         return std::nullopt;
     }
-    mNextClaimAt = now + sClaimRetry;
+    mNextClaimAt = now + sClaimRetryDelay;
     mSent[++mLastSequence] = now;
-    if (mSent.size() > sMostSent) {
+    if (mSent.size() > sMaxUnconfirmedClaims) {
         mSent.erase(mSent.begin());
     }
     wire::OrderLeaseClaim claim;
@@ -46,8 +47,8 @@
     claim.set_incarnation(mIncarnation);
     claim.set_duration_ms(static_cast<std::uint32_t>(mOptions.duration.count()));
     claim.set_sequence(mLastSequence);
-    if (mFence) {
-        claim.set_fence(*mFence);
+    if (mFencingNumber) {
+        claim.set_fence(*mFencingNumber);
     }
     return claim;
 }
@@ -55,59 +56,59 @@
 void OrderLease::feed(std::span<const wire::StoredRecord> records, Instant now)
 {
     for (const wire::StoredRecord &record : records) {
-        if (record.offset() < mNext) {
+        if (record.offset() < mNextOffset) {
             continue;
         }
-        mNext = record.offset() + 1;
+        mNextOffset = record.offset() + 1;
         wire::OrderLeaseClaim claim;
         if (!claim.ParseFromString(record.data()) || claim.box() != mBox) {
             continue;
         }
         if (claim.incarnation() == mIncarnation) {
-            feedOwn(claim, record.offset());
+            applyOwnClaim(claim, record.offset());
         } else {
-            feedOther(claim, now);
+            applyOtherClaim(claim, now);
         }
     }
 }
 
-void OrderLease::feedOwn(const wire::OrderLeaseClaim &claim, std::uint64_t offset)
+void OrderLease::applyOwnClaim(const wire::OrderLeaseClaim &claim, std::uint64_t offset)
 {
     const auto sent = mSent.find(claim.sequence());
-    const bool ofLostTerm = claim.has_fence() && claim.fence() != mFence;
+    const bool ofLostTerm = claim.has_fence() && claim.fence() != mFencingNumber;
     if (sent == mSent.end() || ofLostTerm) {
         return;
     }
-    if (!mFence) {
-        mFence = offset;
+    if (!mFencingNumber) {
+        mFencingNumber = offset;
     }
     mHeldUntil = std::max(mHeldUntil, sent->second + mOptions.duration - mOptions.margin);
     mSent.erase(sent);
 }
 
-void OrderLease::feedOther(const wire::OrderLeaseClaim &claim, Instant now)
+void OrderLease::applyOtherClaim(const wire::OrderLeaseClaim &claim, Instant now)
 {
-    const Milliseconds rest = Milliseconds(claim.duration_ms()) + mOptions.orderDelay;
-    mOthersEnd = std::max(mOthersEnd, now + rest);
-    const bool older = mFence && claim.has_fence() && claim.fence() < *mFence;
+    const Milliseconds rest = Milliseconds(claim.duration_ms()) + mOptions.maxOrderDelay;
+    mOtherLeasesEnd = std::max(mOtherLeasesEnd, now + rest);
+    const bool older = mFencingNumber && claim.has_fence() && claim.fence() < *mFencingNumber;
     if (older) {
         return;
     }
     // Another term began behind ours. Claims of ours still under way belong to
     // the lost term and must not revive it.
-    mFence.reset();
+    mFencingNumber.reset();
     mSent.clear();
     mHeldUntil = Instant();
 }
 
-std::optional<std::uint64_t> OrderLease::permit(Instant now) const
+std::optional<std::uint64_t> OrderLease::fencingNumber(Instant now) const
 {
-    if (!mFence || mOptions.engineChecks) {
-        return mFence;
+    if (!mFencingNumber || mOptions.engineChecksFence) {
+        return mFencingNumber;
     }
     const bool held = now < mHeldUntil;
-    const bool othersGone = now >= mOthersEnd;
-    return held && othersGone ? mFence : std::nullopt;
+    const bool otherLeasesExpired = now >= mOtherLeasesEnd;
+    return held && otherLeasesExpired ? mFencingNumber : std::nullopt;
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/orderlease.h
+++ b/src/libloomjunction/core/orderlease.h
@@ -34,8 +34,8 @@
     {
         Milliseconds duration{20'000};
         Milliseconds margin{2'000}; ///< the holder stops this much early
-        Milliseconds orderDelay{3'000}; ///< longest an order may be under way
-        bool engineChecks = false; ///< the engine refuses older fencing numbers
+        Milliseconds maxOrderDelay{3'000}; ///< longest an order may be under way
+        bool engineChecksFence = false; ///< the engine refuses older fencing numbers
     };
 
     OrderLease(std::string box, std::uint64_t incarnation, Options options);
@@ -45,28 +45,28 @@
 
     /** Folds records of the lease stream, in order. */
     void feed(std::span<const wire::StoredRecord> records, Instant now);
-    std::uint64_t nextOffset() const { return mNext; }
+    std::uint64_t nextOffset() const { return mNextOffset; }
 
     /**
      * The fencing number to use for an order sent right now, or nothing. Must
      * be asked after any wake and right before each order: a process frozen
      * past its lease sees its lapse here before it does anything else.
      */
-    std::optional<std::uint64_t> permit(Instant now) const;
+    std::optional<std::uint64_t> fencingNumber(Instant now) const;
 
 private:
-    void feedOwn(const wire::OrderLeaseClaim &claim, std::uint64_t offset);
-    void feedOther(const wire::OrderLeaseClaim &claim, Instant now);
+    void applyOwnClaim(const wire::OrderLeaseClaim &claim, std::uint64_t offset);
+    void applyOtherClaim(const wire::OrderLeaseClaim &claim, Instant now);
 
     std::string mBox;
     std::uint64_t mIncarnation;
     Options mOptions;
-    std::uint64_t mNext = 0;
+    std::uint64_t mNextOffset = 0;
     std::uint64_t mLastSequence = 0;
     std::map<std::uint64_t, Instant> mSent; ///< claims not yet read back, by sequence
-    std::optional<std::uint64_t> mFence; ///< of the term held now
+    std::optional<std::uint64_t> mFencingNumber; ///< of the term held now
     Instant mHeldUntil; ///< by our own count, margin taken off
-    Instant mOthersEnd; ///< no order and no new term before this
+    Instant mOtherLeasesEnd; ///< no order and no new term before this
     Instant mNextClaimAt;
 };
 
--- a/src/libloomjunction/core/outcome.cpp
+++ b/src/libloomjunction/core/outcome.cpp
@@ -48,13 +48,14 @@
     std::pair{UnknownReason::NotSettled, std::string_view("not-settled")},
 };
 
-template <class Table, class Key> std::string_view nameIn(const Table &table, Key key)
+template <class Table, class Key> std::string_view findName(const Table &table, Key key)
 {
     const auto it = std::ranges::find(table, key, [](const auto &row) { return row.first; });
     return it == table.end() ? std::string_view("unnamed") : it->second;
 }
 
-template <class Table, class Key> Key keyIn(const Table &table, std::string_view name, Key fallback)
+template <class Table, class Key>
+Key findKey(const Table &table, std::string_view name, Key fallback)
 {
     const auto it = std::ranges::find(table, name, [](const auto &row) { return row.second; });
     return it == table.end() ? fallback : it->first;
@@ -96,12 +97,12 @@
 
 std::string_view reasonName(RefusalReason reason)
 {
-    return nameIn(sRefusalNames, reason);
+    return findName(sRefusalNames, reason);
 }
 
 std::string_view reasonName(UnknownReason reason)
 {
-    return nameIn(sUnknownNames, reason);
+    return findName(sUnknownNames, reason);
 }
 
 std::string_view outcomeName(const Outcome &outcome)
@@ -126,12 +127,12 @@
 
 RefusalReason refusalReason(std::string_view name)
 {
-    return keyIn(sRefusalNames, name, RefusalReason::Overloaded);
+    return findKey(sRefusalNames, name, RefusalReason::Overloaded);
 }
 
 UnknownReason unknownReason(std::string_view name)
 {
-    return keyIn(sUnknownNames, name, UnknownReason::LinkCut);
+    return findKey(sUnknownNames, name, UnknownReason::LinkCut);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/settingschema.cpp
+++ b/src/libloomjunction/core/settingschema.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr std::int64_t sDayMs = 86'400'000;
-constexpr std::size_t sLongestName = 128;
-constexpr std::size_t sLongestText = 256;
+constexpr std::size_t sMaxNameLength = 128;
+constexpr std::size_t sMaxTextLength = 256;
 
 constexpr std::array sSpecs{
     SettingSpec{"admission.maxInFlight", SettingType::Integer, 1, 1'000'000, "512",
@@ -56,7 +56,7 @@
 
 bool isName(std::string_view name)
 {
-    if (name.empty() || name.size() > sLongestName) {
+    if (name.empty() || name.size() > sMaxNameLength) {
         return false;
     }
     return std::ranges::all_of(name, [](char c) {
@@ -65,16 +65,16 @@
     });
 }
 
-std::optional<std::string> integerProblem(const SettingSpec &spec, const boost::json::value &value)
+std::optional<std::string> integerError(const SettingSpec &spec, const boost::json::value &value)
 {
     if (!value.is_int64()) {
         return "setting " + quoted(spec.key) + ": expected a whole number, found "
             + boost::json::serialize(value);
     }
     const std::int64_t number = value.as_int64();
-    if (number < spec.least || number > spec.most) {
-        return "setting " + quoted(spec.key) + ": expected " + std::to_string(spec.least) + " to "
-            + std::to_string(spec.most) + ", found " + std::to_string(number);
+    if (number < spec.minimum || number > spec.maximum) {
+        return "setting " + quoted(spec.key) + ": expected " + std::to_string(spec.minimum) + " to "
+            + std::to_string(spec.maximum) + ", found " + std::to_string(number);
     }
     return std::nullopt;
 }
@@ -92,7 +92,7 @@
     return it == sSpecs.end() ? nullptr : &*it;
 }
 
-std::optional<std::string> settingProblem(std::string_view key, std::string_view json)
+std::optional<std::string> settingError(std::string_view key, std::string_view json)
 {
     const SettingSpec *spec = findSetting(key);
     if (spec == nullptr) {
@@ -111,18 +111,19 @@
         }
         return std::nullopt;
     case SettingType::Integer:
-        return integerProblem(*spec, value);
+        return integerError(*spec, value);
     case SettingType::Text:
-        if (!value.is_string() || value.as_string().size() > sLongestText) {
+        if (!value.is_string() || value.as_string().size() > sMaxTextLength) {
             return "setting " + quoted(key) + ": expected text of at most "
-                + std::to_string(sLongestText) + " characters, found " + quoted(json.substr(0, 40));
+                + std::to_string(sMaxTextLength) + " characters, found "
+                + quoted(json.substr(0, 40));
         }
         return std::nullopt;
     }
     return std::nullopt;
 }
 
-std::optional<std::string> scopeProblem(std::string_view scope)
+std::optional<std::string> scopeError(std::string_view scope)
 {
     if (scope == "/") {
         return std::nullopt;
--- a/src/libloomjunction/core/settingschema.h
+++ b/src/libloomjunction/core/settingschema.h
@@ -29,10 +29,10 @@
 {
     std::string_view key;
     SettingType type;
-    std::int64_t least;
-    std::int64_t most;
-    std::string_view standard; ///< JSON text of the value where none is set
-    std::string_view meaning; ///< with its unit
+    std::int64_t minimum;
+    std::int64_t maximum;
+    std::string_view defaultJson; ///< JSON text of the value where none is set
+    std::string_view description; ///< with its unit
 };
 
 /** Every key of the tree, in alphabetical order. */
@@ -45,9 +45,9 @@
  * What is wrong with setting @p key to @p json (JSON text), naming the key,
  * what was expected and what was found; nothing where it is well.
  */
-std::optional<std::string> settingProblem(std::string_view key, std::string_view json);
+std::optional<std::string> settingError(std::string_view key, std::string_view json);
 
 /** What is wrong with @p scope as a place in the tree; nothing where it is well. */
-std::optional<std::string> scopeProblem(std::string_view scope);
+std::optional<std::string> scopeError(std::string_view scope);
 
 } // namespace Loom
--- a/src/libloomjunction/core/snapshotassembler.cpp
+++ b/src/libloomjunction/core/snapshotassembler.cpp
@@ -25,16 +25,16 @@
         return std::nullopt;
     }
     const std::string name = std::to_string(chunk.as_of()) + "/" + chunk.digest();
-    Parts &parts = mParts[name];
-    parts.data[chunk.index()] = chunk.data();
-    if (parts.data.size() < chunk.count()) {
+    PartialSnapshot &partial = mPartialSnapshots[name];
+    partial.data[chunk.index()] = chunk.data();
+    if (partial.data.size() < chunk.count()) {
         return std::nullopt;
     }
     std::string whole;
-    for (const auto &[index, data] : parts.data) {
+    for (const auto &[index, data] : partial.data) {
         whole += data;
     }
-    mParts.erase(name);
+    mPartialSnapshots.erase(name);
     wire::ConfigSnapshot snapshot;
     if (sha256Hex(whole) != chunk.digest() || !snapshot.ParseFromString(whole)) {
         return std::nullopt;
--- a/src/libloomjunction/core/snapshotassembler.h
+++ b/src/libloomjunction/core/snapshotassembler.h
@@ -24,14 +24,14 @@
 public:
     /** The snapshot that @p chunk completes, if it does and its digest holds. */
     std::optional<wire::ConfigSnapshot> add(const wire::SnapshotChunk &chunk);
-    void clear() { mParts.clear(); }
+    void clear() { mPartialSnapshots.clear(); }
 
 private:
-    struct Parts
+    struct PartialSnapshot
     {
         std::map<std::uint32_t, std::string> data;
     };
-    std::map<std::string, Parts> mParts; // by "asOf/digest"
+    std::map<std::string, PartialSnapshot> mPartialSnapshots; // by "lastOffset/digest"
 };
 
 /** Cuts @p snapshot into records for the log. */
--- a/src/libloomjunction/core/snapshotpolicy.cpp
+++ b/src/libloomjunction/core/snapshotpolicy.cpp
@@ -25,7 +25,7 @@
     if (!replica.isReady()) {
         return std::nullopt;
     }
-    const bool many = replica.changesSinceSnapshot() >= changes;
+    const bool many = replica.changesSinceSnapshot() >= maxChanges;
     const Milliseconds oldest = retention / sSnapshotsPerRetention;
     const bool old = !replica.snapshotTime() || now - *replica.snapshotTime() >= oldest;
     // Without any change since the log began there is nothing worth a snapshot,
--- a/src/libloomjunction/core/snapshotpolicy.h
+++ b/src/libloomjunction/core/snapshotpolicy.h
@@ -21,7 +21,7 @@
 /** When an entry should append a snapshot. */
 struct SnapshotPolicy
 {
-    std::uint64_t changes = 200; ///< after this many changes
+    std::uint64_t maxChanges = 200; ///< after this many changes
     Milliseconds retention{3'600'000}; ///< how long the log keeps records
     Milliseconds rankDelay{2'000}; ///< wait per place in the rendezvous order
 
--- a/src/libloomjunction/kernel/jsonlog.cpp
+++ b/src/libloomjunction/kernel/jsonlog.cpp
@@ -9,7 +9,7 @@
 #include "jsonlog.h"
 
 #include "clock.h"
-#include "linebudget.h"
+#include "logratelimiter.h"
 
 #include <array>
 #include <chrono>
@@ -32,7 +32,7 @@
 
 // Of one event in a second: several times what a gateway takes when it is busy.
 constexpr std::uint32_t sLinesPerSecond = 200;
-LineBudget sBudget(sLinesPerSecond);
+LogRateLimiter sBudget(sLinesPerSecond);
 
 // Lines that standard output did not take yet; more are dropped and counted.
 constexpr std::size_t sMostPending = std::size_t{256} * 1024;
@@ -164,7 +164,7 @@
 
 void writeLeftOut(Instant time)
 {
-    while (const auto left = sBudget.leftOut(time)) {
+    while (const auto left = sBudget.takeSuppressed(time)) {
         const std::array<LogField, 2> fields{LogField("of", left->event),
                                              LogField("lines", left->count)};
         writeLine(LogLevel::Warning, "lines-left-out", fields);
@@ -184,7 +184,7 @@
     }
     const Instant time = now();
     writeLeftOut(time);
-    if (sBudget.take(event, time)) {
+    if (sBudget.allow(event, time)) {
         writeLine(level, event, fields);
     }
 }
--- a/src/libloomjunction/net/changejson.cpp
+++ b/src/libloomjunction/net/changejson.cpp
@@ -142,7 +142,7 @@
     change.set_change_id(reader.text("changeId"));
     change.set_author(reader.text("author", false));
     // Without a base the author has seen nothing, and loses every race.
-    change.set_base(object.contains("base") ? reader.number("base") : ConfigState::sNothing);
+    change.set_base(object.contains("base") ? reader.number("base") : ConfigState::sNoOffset);
     if (!reader.problem().empty()) {
         return tl::unexpected(reader.problem());
     }
--- a/src/loombench/loadgenerator.cpp
+++ b/src/loombench/loadgenerator.cpp
@@ -9,8 +9,8 @@
 #include "loadgenerator.h"
 
 #include "clock.h"
+#include "idempotencykey.h"
 #include "jsonhttp.h"
-#include "oncekey.h"
 
 #include <algorithm>
 
--- a/src/loombench/statebench.cpp
+++ b/src/loombench/statebench.cpp
@@ -12,7 +12,7 @@
 #include "claimtable.h"
 #include "clock.h"
 #include "configreplica.h"
-#include "oncekey.h"
+#include "idempotencykey.h"
 
 #include <algorithm>
 #include <array>
@@ -55,7 +55,7 @@
     const std::string name = "service-" + std::to_string(number);
     wire::ConfigChange change;
     change.set_change_id(makeUuid7(wallNow(), number, number));
-    change.set_base(ConfigState::sNothing);
+    change.set_base(ConfigState::sNoOffset);
     change.add_operations()->mutable_create_service()->set_name(name);
     constexpr std::array sKeys{"admission.maxInFlight",   "admission.weight",
                                "addresses.lifetimeMs",    "calls.deadlineMs",
@@ -81,7 +81,7 @@
     const Instant begun = now();
     for (std::uint32_t number = 0; number < services; ++number) {
         const wire::StoredRecord record = recordOf(serviceChange(number), number);
-        replica.feedLog({&record, 1}, 0, now());
+        replica.applyLog({&record, 1}, 0, now());
     }
     const std::chrono::duration<double, std::micro> took = now() - begun;
     out["services"] = replica.state().services().size();
@@ -103,12 +103,13 @@
     for (std::uint32_t number = 0; number < keys; ++number) {
         GateCall call;
         call.attempt = {"entry-1#1", number + 1};
-        call.onceKey = IssuedKey{makeUuid7(wall, number, number), "box-1", sLife, wall}.text();
+        call.idempotencyKey
+            = IssuedKey{makeUuid7(wall, number, number), "box-1", sLife, wall}.text();
         call.homeIncarnation = sLife;
-        call.keyExpires = wall + sKeyWindow;
+        call.keyExpires = wall + sKeyLifetime;
         call.timeLeft = Milliseconds(1'000);
-        gate.arrive(call, wall, now());
-        gate.ended(call, Answered{200}, answer, now());
+        gate.admit(call, wall, now());
+        gate.complete(call, Answered{200}, answer, now());
     }
     const std::chrono::duration<double, std::micro> took = now() - begun;
     out["keys"] = keys;
--- a/src/loomctl/entryclient.cpp
+++ b/src/loomctl/entryclient.cpp
@@ -9,8 +9,8 @@
 #include "entryclient.h"
 
 #include "clock.h"
+#include "idempotencykey.h"
 #include "jsonhttp.h"
-#include "oncekey.h"
 
 #include <random>
 
--- a/src/loomctl/modelcommands.cpp
+++ b/src/loomctl/modelcommands.cpp
@@ -186,7 +186,7 @@
     if (!data) {
         return tl::unexpected(data.error());
     }
-    const Manifest manifest = Manifest::ofWeights(
+    const Manifest manifest = Manifest::fromWeights(
         arguments.service, arguments.version, std::as_bytes(std::span(data->data(), data->size())),
         arguments.chunkKib * sKib);
     const auto uploaded = upload(context, arguments, manifest, *data);
--- a/src/loomctl/reportcommands.cpp
+++ b/src/loomctl/reportcommands.cpp
@@ -60,7 +60,7 @@
 
 std::string_view verdictOf(const MergedBurn &burn)
 {
-    return burnVerdict(burn.windows.front().burn, burn.windows[2].burn);
+    return burnAlert(burn.windows.front().burn, burn.windows[2].burn);
 }
 
 json::object toJson(const BurnSeries &series, const MergedBurn &burn)
--- a/src/loomctl/settingscommands.cpp
+++ b/src/loomctl/settingscommands.cpp
@@ -34,10 +34,10 @@
             CommandError::BadInput, "VALUE: expected JSON, found '" + arguments.value + "'"});
     }
     // The fold refuses it too; here the operator hears at once.
-    if (const auto problem = settingProblem(arguments.key, json::serialize(value))) {
+    if (const auto problem = settingError(arguments.key, json::serialize(value))) {
         return tl::unexpected(CommandFailure{CommandError::BadInput, *problem});
     }
-    if (const auto problem = scopeProblem(arguments.scope)) {
+    if (const auto problem = scopeError(arguments.scope)) {
         return tl::unexpected(CommandFailure{CommandError::BadInput, *problem});
     }
     return value;
--- a/src/loomjunctiond/adminapi.cpp
+++ b/src/loomjunctiond/adminapi.cpp
@@ -132,7 +132,7 @@
     // What could never be accepted is not worth an append.
     if (mConfig->isReady() && !mConfig->state().fate(change->change_id())) {
         ConfigState trial = mConfig->state();
-        const ChangeResult judged = trial.apply(*change, trial.asOf() + 1);
+        const ChangeResult judged = trial.apply(*change, trial.lastOffset() + 1);
         if (!judged.accepted) {
             co_await exchange.respond(errorResponse(409, judged.reason));
             co_return;
@@ -178,7 +178,7 @@
         row["value"] = parsedValue(value.json);
         row["from"] = value.scope.empty() ? "default" : value.scope;
         row["offset"] = value.offset;
-        row["meaning"] = spec.meaning;
+        row["meaning"] = spec.description;
         values.push_back(std::move(row));
     }
     json::object answer;
@@ -239,7 +239,7 @@
     }
     json::object answer;
     answer["ready"] = mConfig->isReady();
-    answer["offset"] = mConfig->isReady() ? json::value(config.asOf()) : json::value(nullptr);
+    answer["offset"] = mConfig->isReady() ? json::value(config.lastOffset()) : json::value(nullptr);
     answer["services"] = std::move(services);
     answer["accounts"] = std::move(accounts);
     answer["settings"] = std::move(settings);
@@ -310,7 +310,7 @@
     answer["logReachable"] = mTail->isLogReachable();
     answer["inFlight"] = mFront->inFlight();
     answer["offset"]
-        = mConfig->isReady() ? json::value(mConfig->state().asOf()) : json::value(nullptr);
+        = mConfig->isReady() ? json::value(mConfig->state().lastOffset()) : json::value(nullptr);
     return jsonResponse(200, answer);
 }
 
--- a/src/loomjunctiond/callrequest.cpp
+++ b/src/loomjunctiond/callrequest.cpp
@@ -84,7 +84,7 @@
 {
     request.keyText = http.header("Loom-Key");
     if (!request.keyText.empty()) {
-        auto key = parseOnceKey(request.keyText);
+        auto key = parseIdempotencyKey(request.keyText);
         if (!key) {
             return refusedEnding(RefusalReason::BadRequest, key.error());
         }
--- a/src/loomjunctiond/callrequest.h
+++ b/src/loomjunctiond/callrequest.h
@@ -9,8 +9,8 @@
 #pragma once
 
 #include "http.h"
+#include "idempotencykey.h"
 #include "instant.h"
-#include "oncekey.h"
 #include "outcome.h"
 
 #include <cstdint>
@@ -46,7 +46,7 @@
     std::string target;
     std::string prefix;
     std::string keyText;
-    std::optional<OnceKey> key;
+    std::optional<IdempotencyKey> key;
     Instant deadline;
     std::uint32_t priority = 0;
     bool wantsStream = false;
--- a/src/loomjunctiond/callrunner.cpp
+++ b/src/loomjunctiond/callrunner.cpp
@@ -228,11 +228,11 @@
 IssuedKey CallRunner::issueKey(const std::string &box)
 {
     IssuedKey key;
-    key.unique = makeUuid7(wallNow(), mPlatform.random(), mPlatform.random());
+    key.uuid = makeUuid7(wallNow(), mPlatform.random(), mPlatform.random());
     key.homeBox = box;
     const Upstream *upstream = mLinks.upstreams().find(box);
     key.homeIncarnation = upstream == nullptr ? 0 : upstream->incarnation;
-    key.expires = wallNow() + sKeyWindow;
+    key.expires = wallNow() + sKeyLifetime;
     return key;
 }
 
@@ -302,10 +302,10 @@
                                              CallerKey key)
 {
     const WallMilliseconds at = wallNow();
-    if (key.born > at + sClockSkew) {
+    if (key.createdAt > at + sMaxClockSkew) {
         co_return refusedEnding(RefusalReason::BadRequest, "Loom-Key: its time lies in the future");
     }
-    if (at - key.born >= sKeyWindow) {
+    if (at - key.createdAt >= sKeyLifetime) {
         CallEnding ending;
         ending.outcome = Unknown{UnknownReason::KeyExpired};
         co_return ending;
--- a/src/loomjunctiond/callservice.cpp
+++ b/src/loomjunctiond/callservice.cpp
@@ -9,8 +9,8 @@
 #include "callservice.h"
 
 #include "clock.h"
+#include "idempotencykey.h"
 #include "jsonlog.h"
-#include "oncekey.h"
 #include "overload.h"
 #include "platformservice.h"
 
@@ -32,17 +32,18 @@
     GateCall call;
     call.attempt = {start.attempt().entry(), start.attempt().sequence()};
     call.version = start.version();
-    call.onceKey = start.once_key();
+    call.idempotencyKey = start.once_key();
     call.homeIncarnation = start.home_incarnation();
     call.timeLeft = Milliseconds(start.deadline_ms())
         - std::chrono::duration_cast<Milliseconds>(now() - received);
-    const auto key = parseOnceKey(start.once_key());
+    const auto key = parseIdempotencyKey(start.once_key());
     if (key) {
-        call.keyExpires = std::visit(Overload{
-                                         [](const IssuedKey &issued) { return issued.expires; },
-                                         [](const CallerKey &own) { return own.born + sKeyWindow; },
-                                     },
-                                     *key);
+        call.keyExpires
+            = std::visit(Overload{
+                             [](const IssuedKey &issued) { return issued.expires; },
+                             [](const CallerKey &own) { return own.createdAt + sKeyLifetime; },
+                         },
+                         *key);
     }
     return call;
 }
@@ -106,7 +107,7 @@
     CallGate &gate = mUpstream->gate();
     const Instant received = now();
     GateCall call = toGateCall(start, received);
-    GateDecision decision = gate.arrive(call, wallNow(), received);
+    GateDecision decision = gate.admit(call, wallNow(), received);
     while (std::holds_alternative<GateWait>(decision)) {
         call = toGateCall(start, received);
         if (call.timeLeft.count() <= 0 || !stream->isOpen()) {
@@ -114,14 +115,15 @@
             break;
         }
         co_await mEnded.waitFor(std::min<std::chrono::milliseconds>(sKeyWaitStep, call.timeLeft));
-        decision = gate.arriveAgain(call, wallNow(), now());
+        decision = gate.admitAfterWait(call, wallNow(), now());
     }
     Upstreamed result;
     const bool runs = std::holds_alternative<GateRun>(decision);
     if (runs) {
         result = co_await runUpstream(stream, start);
-        gate.ended(call, result.outcome, result.body, now());
-        result.isKeySpent = !call.onceKey.empty() && std::holds_alternative<NotRun>(result.outcome);
+        gate.complete(call, result.outcome, result.body, now());
+        result.isKeySpent
+            = !call.idempotencyKey.empty() && std::holds_alternative<NotRun>(result.outcome);
         mEnded.notify();
     } else {
         std::visit(
--- a/src/loomjunctiond/claimservice.cpp
+++ b/src/loomjunctiond/claimservice.cpp
@@ -64,7 +64,7 @@
             continue;
         }
         co_await sleepFor(sGather);
-        const wire::ClaimBatch batch = mBatcher.take(mPlatform->box(), wallNow());
+        const wire::ClaimBatch batch = mBatcher.takeBatch(mPlatform->box(), wallNow());
         mPlatform->metrics().count("log_appends", "claims");
         // A failed or unanswered append needs no second one: the callers give
         // up by themselves, and a claim that did get in binds everybody alike.
@@ -77,11 +77,11 @@
 {
     const auto until = std::chrono::steady_clock::now() + wait;
     const auto settled = [&]() -> std::optional<ClaimOutcome> {
-        const auto home = mTable.home(key.unique);
+        const auto home = mTable.home(key.uuid);
         if (!home) {
             return std::nullopt;
         }
-        const bool certain = mTable.covers(key.born);
+        const bool certain = mTable.coversKeysSince(key.createdAt);
         return ClaimOutcome{certain ? home : std::nullopt, !certain};
     };
     if (const auto known = settled()) {
@@ -91,7 +91,7 @@
         co_return ClaimOutcome{};
     }
     wire::KeyClaim claim;
-    claim.set_key(key.unique);
+    claim.set_key(key.uuid);
     claim.set_service(wanted.service);
     claim.set_home_box(wanted.box);
     claim.set_home_incarnation(wanted.incarnation);
--- a/src/loomjunctiond/claimservice.h
+++ b/src/loomjunctiond/claimservice.h
@@ -10,8 +10,8 @@
 
 #include "claimbatcher.h"
 #include "claimtable.h"
+#include "idempotencykey.h"
 #include "kernel.h"
-#include "oncekey.h"
 
 #include <optional>
 #include <string>
--- a/src/loomjunctiond/configservice.cpp
+++ b/src/loomjunctiond/configservice.cpp
@@ -26,21 +26,21 @@
     return {};
 }
 
-FeedResult ConfigService::feedLog(std::span<const wire::StoredRecord> records,
-                                  std::uint64_t logFirst)
+ApplyResult ConfigService::applyLog(std::span<const wire::StoredRecord> records,
+                                    std::uint64_t logStartOffset)
 {
-    return mReplica.feedLog(records, logFirst, now());
+    return mReplica.applyLog(records, logStartOffset, now());
 }
 
-FeedResult ConfigService::feedPeer(const wire::ConfigUpdate &update)
+ApplyResult ConfigService::applyPeerUpdate(const wire::ConfigUpdate &update)
 {
-    return mReplica.feedPeer(update, now());
+    return mReplica.applyPeerUpdate(update, now());
 }
 
 void ConfigService::notify()
 {
-    mPlatform->metrics().set("config_offset", "", static_cast<std::int64_t>(state().asOf()));
-    logLine(LogLevel::Debug, "config-changed", {{"offset", state().asOf()}});
+    mPlatform->metrics().set("config_offset", "", static_cast<std::int64_t>(state().lastOffset()));
+    logLine(LogLevel::Debug, "config-changed", {{"offset", state().lastOffset()}});
     for (const auto &listener : mListeners) {
         listener();
     }
--- a/src/loomjunctiond/configservice.h
+++ b/src/loomjunctiond/configservice.h
@@ -35,8 +35,8 @@
     const ConfigReplica &replica() const { return mReplica; }
     bool isReady() const { return mReplica.isReady(); }
 
-    FeedResult feedLog(std::span<const wire::StoredRecord> records, std::uint64_t logFirst);
-    FeedResult feedPeer(const wire::ConfigUpdate &update);
+    ApplyResult applyLog(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset);
+    ApplyResult applyPeerUpdate(const wire::ConfigUpdate &update);
 
     /** Wakes after each change. */
     Signal &changed() { return mChanged; }
--- a/src/loomjunctiond/configtail.cpp
+++ b/src/loomjunctiond/configtail.cpp
@@ -37,7 +37,7 @@
     mPlatform = &kernel.find<PlatformService>(PlatformService::sName);
     mConfig = &kernel.find<ConfigService>(ConfigService::sName);
     mList = &kernel.find<ListService>(ListService::sName);
-    mPolicy.changes = std::get<EntrySettings>(mPlatform->settings().role).snapshotChanges;
+    mPolicy.maxChanges = std::get<EntrySettings>(mPlatform->settings().role).snapshotChanges;
     asio::co_spawn(kernel.executor(), follow(), asio::detached);
     asio::co_spawn(kernel.executor(), writeSnapshots(), asio::detached);
     return {};
@@ -46,7 +46,7 @@
 awaitable<void> ConfigTail::follow()
 {
     while (!mStopped) {
-        const std::uint64_t from = mConfig->replica().readFrom();
+        const std::uint64_t from = mConfig->replica().nextReadOffset();
         const auto batch = co_await mPlatform->log().read(sConfigStream, from, sLongPoll);
         if (batch.has_value() != mLogReachable) {
             mLogReachable = batch.has_value();
@@ -59,8 +59,8 @@
             continue;
         }
         mPolicy.retention = Milliseconds(batch->retentionMs);
-        const FeedResult result = mConfig->feedLog(batch->records, batch->first);
-        if (result == FeedResult::Gap && batch->records.empty()) {
+        const ApplyResult result = mConfig->applyLog(batch->records, batch->first);
+        if (result == ApplyResult::Gap && batch->records.empty()) {
             // Trimmed past us with no snapshot after: only a peer can help.
             logLine(LogLevel::Error, "config-gap-in-log",
                     {{"logFirst", batch->first}, {"ownNext", mConfig->replica().nextOffset()}});
--- a/src/loomjunctiond/orderservice.cpp
+++ b/src/loomjunctiond/orderservice.cpp
@@ -31,7 +31,8 @@
 {
     mPlatform = &kernel.find<PlatformService>(PlatformService::sName);
     OrderLease::Options options;
-    options.engineChecks = std::get<AgentSettings>(mPlatform->settings().role).engineChecksFence;
+    options.engineChecksFence
+        = std::get<AgentSettings>(mPlatform->settings().role).engineChecksFence;
     mLease = std::make_unique<OrderLease>(mPlatform->box(), mPlatform->incarnation(), options);
     return {};
 }
@@ -52,7 +53,7 @@
     const auto until = std::chrono::steady_clock::now() + sAcquireFor;
     while (std::chrono::steady_clock::now() < until) {
         const bool read = co_await readLeases();
-        if (read && mLease->permit(now())) {
+        if (read && mLease->fencingNumber(now())) {
             co_return true;
         }
         const auto claim = read ? mLease->claimIfDue(now()) : std::nullopt;
@@ -85,7 +86,7 @@
         co_return false;
     }
     // Asked again right before the order: nothing in between may wait.
-    const auto fence = mLease->permit(now());
+    const auto fence = mLease->fencingNumber(now());
     if (!fence) {
         co_return false;
     }
--- a/src/loomjunctiond/watchsession.cpp
+++ b/src/loomjunctiond/watchsession.cpp
@@ -41,7 +41,7 @@
     hello.set_box(mPlatform.box());
     hello.set_incarnation(mPlatform.incarnation());
     hello.set_has_config(mConfig.isReady());
-    hello.set_config_offset(mConfig.isReady() ? mConfig.state().asOf() : 0);
+    hello.set_config_offset(mConfig.isReady() ? mConfig.state().lastOffset() : 0);
     mStream->send(frame);
 }
 
@@ -131,7 +131,7 @@
 
 void WatchSession::takeConfig(const wire::ConfigUpdate &update)
 {
-    if (mConfig.feedPeer(update) == FeedResult::Gap) {
+    if (mConfig.applyPeerUpdate(update) == ApplyResult::Gap) {
         // What it thinks we have is wrong; a new hello on a new stream sets it right.
         logLine(LogLevel::Warning, "config-gap", {{"peer", mPeerBox}});
         mStream->reset();
@@ -146,7 +146,7 @@
     mPeerOffset = std::max(mPeerOffset, update.covers_up_to());
     mPeerHasConfig = true;
     wire::WatchFrame frame;
-    frame.mutable_ack()->set_offset(mConfig.state().asOf());
+    frame.mutable_ack()->set_offset(mConfig.state().lastOffset());
     mStream->send(frame);
 }
 
--- a/tests/calls/test_claims.cpp
+++ b/tests/calls/test_claims.cpp
@@ -11,7 +11,7 @@
 #include "claimbatcher.h"
 #include "claimtable.h"
 #include "fakelog.h"
-#include "oncekey.h"
+#include "idempotencykey.h"
 
 using namespace Loom;
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_first_claim_in_the_log_wins_on_every_entry)
+BOOST_AUTO_TEST_CASE(the_claim_with_the_lowest_offset_wins_on_every_entry)
 {
     FakeLog log;
     log.append(claim("k", "exam-1"), at(0));
@@ -52,7 +52,7 @@
     BOOST_TEST(two.home("k")->box == "exam-1");
 }
 
-BOOST_AUTO_TEST_CASE(a_key_older_than_the_kept_claims_is_not_covered)
+BOOST_AUTO_TEST_CASE(a_key_created_before_the_retained_claims_is_not_covered)
 {
     FakeLog log;
     log.append(claim("old", "exam-1"), at(0));
@@ -62,26 +62,26 @@
     feed(table, log, at(200'000));
     log.append(claim("old", "exam-2"), at(200'000));
     feed(table, log, at(200'001));
-    BOOST_TEST(!table.covers(sWall - Milliseconds(200'000)));
-    BOOST_TEST(table.covers(sWall - Milliseconds(100'000) + sClockSkew));
+    BOOST_TEST(!table.coversKeysSince(sWall - Milliseconds(200'000)));
+    BOOST_TEST(table.coversKeysSince(sWall - Milliseconds(100'000) + sMaxClockSkew));
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_that_missed_claims_says_so)
+BOOST_AUTO_TEST_CASE(a_table_that_missed_claims_no_longer_covers_older_keys)
 {
     FakeLog log;
     log.append(claim("a", "exam-1"), at(0));
     ClaimTable table;
     feed(table, log, at(1));
-    BOOST_TEST(table.covers(sWall - Milliseconds(1'000'000)));
+    BOOST_TEST(table.coversKeysSince(sWall - Milliseconds(1'000'000)));
     for (int i = 0; i < 5; ++i) {
         log.append(claim("b" + std::to_string(i), "exam-1"), at(1'000));
     }
     log.trimTo(4); // frozen while the log was trimmed past it
     feed(table, log, at(2'000));
-    BOOST_TEST(!table.covers(sWall - Milliseconds(5'000)));
+    BOOST_TEST(!table.coversKeysSince(sWall - Milliseconds(5'000)));
 }
 
-BOOST_AUTO_TEST_CASE(claims_share_appends)
+BOOST_AUTO_TEST_CASE(claims_are_batched_up_to_the_maximum)
 {
     ClaimBatcher batcher;
     for (int i = 0; i < 600; ++i) {
@@ -89,27 +89,27 @@
         one.set_key(std::to_string(i));
         batcher.add(one);
     }
-    BOOST_TEST(batcher.take("e", sWall).claims_size()
-               == static_cast<int>(ClaimBatcher::sMostPerBatch));
-    BOOST_TEST(batcher.take("e", sWall).claims_size()
-               == 600 - static_cast<int>(ClaimBatcher::sMostPerBatch));
+    BOOST_TEST(batcher.takeBatch("e", sWall).claims_size()
+               == static_cast<int>(ClaimBatcher::sMaxClaimsPerBatch));
+    BOOST_TEST(batcher.takeBatch("e", sWall).claims_size()
+               == 600 - static_cast<int>(ClaimBatcher::sMaxClaimsPerBatch));
     BOOST_TEST(batcher.isEmpty());
 }
 
-BOOST_AUTO_TEST_CASE(keys_are_read_back_as_they_were_made)
+BOOST_AUTO_TEST_CASE(keys_round_trip_through_their_text_form)
 {
-    const IssuedKey issued{makeUuid7(sWall, 0x1234, 0x5678), "exam-1", 99, sWall + sKeyWindow};
-    const auto parsed = parseOnceKey(issued.text());
+    const IssuedKey issued{makeUuid7(sWall, 0x1234, 0x5678), "exam-1", 99, sWall + sKeyLifetime};
+    const auto parsed = parseIdempotencyKey(issued.text());
     BOOST_REQUIRE(parsed.has_value());
     const auto &key = std::get<IssuedKey>(*parsed);
     BOOST_TEST(key.homeBox == "exam-1");
     BOOST_TEST(key.homeIncarnation == 99u);
     BOOST_TEST((key.expires == issued.expires));
-    const auto own = parseOnceKey(issued.unique);
+    const auto own = parseIdempotencyKey(issued.uuid);
     BOOST_REQUIRE(own.has_value());
-    BOOST_TEST((std::get<CallerKey>(*own).born == sWall));
+    BOOST_TEST((std::get<CallerKey>(*own).createdAt == sWall));
     for (const char *wrong : {"", "lk1:x", "lk1:a:b:c:d", "00000000-0000-4000-8000-000000000000",
                               "0000000000000000000000000000000000zz"}) {
-        BOOST_TEST(!parseOnceKey(wrong).has_value(), wrong);
+        BOOST_TEST(!parseIdempotencyKey(wrong).has_value(), wrong);
     }
 }
--- a/tests/calls/test_gate.cpp
+++ b/tests/calls/test_gate.cpp
@@ -11,18 +11,18 @@
 
 #include "callgate.h"
 #include "fakelog.h"
-#include "oncekey.h"
+#include "idempotencykey.h"
 
 using namespace Loom;
 
 namespace {
 
 constexpr WallMilliseconds sWall{1'700'000'000'000};
-constexpr std::uint64_t sLife = 7;
+constexpr std::uint64_t sIncarnation = 7;
 
 CallGate readyGate()
 {
-    CallGate gate(sLife);
+    CallGate gate(sIncarnation);
     gate.setCapacity(2);
     gate.setUpstreamAlive(true);
     gate.setVersions({"v1"});
@@ -35,20 +35,20 @@
     made.attempt = {"entry#1", sequence};
     made.version = "v1";
     made.timeLeft = Milliseconds(1'000);
-    made.onceKey = key;
-    made.homeIncarnation = sLife;
-    made.keyExpires = sWall + sKeyWindow;
+    made.idempotencyKey = key;
+    made.homeIncarnation = sIncarnation;
+    made.keyExpires = sWall + sKeyLifetime;
     return made;
 }
 
-template <class T> bool is(const GateDecision &decision)
+template <class T> bool holds(const GateDecision &decision)
 {
     return std::holds_alternative<T>(decision);
 }
 
 RefusalReason refusalOf(const GateDecision &decision)
 {
-    BOOST_REQUIRE(is<GateRefuse>(decision));
+    BOOST_REQUIRE(holds<GateRefuse>(decision));
     return std::get<GateRefuse>(decision).refusal.reason;
 }
 
@@ -58,107 +58,107 @@
 {
     CallGate gate = readyGate();
     BOOST_TEST((gate.revoke({"entry#1", 5}, at(1)) == RevokeResult::Revoked));
-    BOOST_TEST((refusalOf(gate.arrive(call(5), sWall, at(2))) == RefusalReason::Revoked));
+    BOOST_TEST((refusalOf(gate.admit(call(5), sWall, at(2))) == RefusalReason::Revoked));
     // The other order: what has started cannot be called "not run".
-    BOOST_TEST(is<GateRun>(gate.arrive(call(6), sWall, at(3))));
+    BOOST_TEST(holds<GateRun>(gate.admit(call(6), sWall, at(3))));
     BOOST_TEST((gate.revoke({"entry#1", 6}, at(4)) == RevokeResult::Started));
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_of_an_attempt_is_refused)
+BOOST_AUTO_TEST_CASE(a_duplicate_attempt_is_refused)
 {
     CallGate gate = readyGate();
-    BOOST_TEST(is<GateRun>(gate.arrive(call(1), sWall, at(1))));
-    BOOST_TEST((refusalOf(gate.arrive(call(1), sWall, at(2))) == RefusalReason::Revoked));
+    BOOST_TEST(holds<GateRun>(gate.admit(call(1), sWall, at(1))));
+    BOOST_TEST((refusalOf(gate.admit(call(1), sWall, at(2))) == RefusalReason::Revoked));
 }
 
-BOOST_AUTO_TEST_CASE(what_was_forgotten_is_neither_run_nor_called_not_run)
+BOOST_AUTO_TEST_CASE(an_expired_attempt_can_neither_start_nor_be_revoked)
 {
     AttemptLedger ledger;
-    BOOST_TEST(ledger.start({"e", 1}, at(0)));
-    const Instant later = at(0) + AttemptLedger::sKept + Milliseconds(1);
-    BOOST_TEST(ledger.start({"e", 2}, later));
+    BOOST_TEST(ledger.tryStart({"e", 1}, at(0)));
+    const Instant later = at(0) + AttemptLedger::sRetention + Milliseconds(1);
+    BOOST_TEST(ledger.tryStart({"e", 2}, later));
     BOOST_TEST((ledger.revoke({"e", 1}, later) == RevokeResult::TooOld));
-    BOOST_TEST(!ledger.start({"e", 1}, later));
+    BOOST_TEST(!ledger.tryStart({"e", 1}, later));
 }
 
-BOOST_AUTO_TEST_CASE(refusals_are_exact_and_typed)
+BOOST_AUTO_TEST_CASE(refusals_carry_their_reason)
 {
     CallGate gate = readyGate();
     GateCall late = call(1);
     late.timeLeft = Milliseconds(0);
-    BOOST_TEST((refusalOf(gate.arrive(late, sWall, at(1))) == RefusalReason::DeadlinePassed));
+    BOOST_TEST((refusalOf(gate.admit(late, sWall, at(1))) == RefusalReason::DeadlinePassed));
     GateCall other = call(2);
     other.version = "v2";
-    BOOST_TEST((refusalOf(gate.arrive(other, sWall, at(1))) == RefusalReason::VersionNotLoaded));
-    BOOST_TEST(is<GateRun>(gate.arrive(call(3), sWall, at(1))));
-    BOOST_TEST(is<GateRun>(gate.arrive(call(4), sWall, at(1))));
-    BOOST_TEST((refusalOf(gate.arrive(call(5), sWall, at(1))) == RefusalReason::Overloaded));
-    gate.ended(call(3), Answered{200}, "", at(2));
-    BOOST_TEST(is<GateRun>(gate.arrive(call(6), sWall, at(3))));
+    BOOST_TEST((refusalOf(gate.admit(other, sWall, at(1))) == RefusalReason::VersionNotLoaded));
+    BOOST_TEST(holds<GateRun>(gate.admit(call(3), sWall, at(1))));
+    BOOST_TEST(holds<GateRun>(gate.admit(call(4), sWall, at(1))));
+    BOOST_TEST((refusalOf(gate.admit(call(5), sWall, at(1))) == RefusalReason::Overloaded));
+    gate.complete(call(3), Answered{200}, "", at(2));
+    BOOST_TEST(holds<GateRun>(gate.admit(call(6), sWall, at(3))));
     gate.setLeaving();
-    gate.ended(call(4), Answered{200}, "", at(4));
-    BOOST_TEST((refusalOf(gate.arrive(call(7), sWall, at(5))) == RefusalReason::UpstreamLeaving));
+    gate.complete(call(4), Answered{200}, "", at(4));
+    BOOST_TEST((refusalOf(gate.admit(call(7), sWall, at(5))) == RefusalReason::UpstreamLeaving));
 }
 
-BOOST_AUTO_TEST_CASE(a_key_runs_once_and_its_repeats_get_its_answer)
+BOOST_AUTO_TEST_CASE(a_key_runs_once_and_repeats_get_the_stored_answer)
 {
     CallGate gate = readyGate();
-    BOOST_TEST(is<GateRun>(gate.arrive(call(1, "k"), sWall, at(1))));
-    BOOST_TEST(is<GateWait>(gate.arrive(call(2, "k"), sWall, at(2))));
-    gate.ended(call(1, "k"), Answered{201}, "whole", at(3));
-    const GateDecision repeat = gate.arriveAgain(call(2, "k"), sWall, at(4));
-    BOOST_REQUIRE(is<GateReplay>(repeat));
+    BOOST_TEST(holds<GateRun>(gate.admit(call(1, "k"), sWall, at(1))));
+    BOOST_TEST(holds<GateWait>(gate.admit(call(2, "k"), sWall, at(2))));
+    gate.complete(call(1, "k"), Answered{201}, "whole", at(3));
+    const GateDecision repeat = gate.admitAfterWait(call(2, "k"), sWall, at(4));
+    BOOST_REQUIRE(holds<GateReplay>(repeat));
     BOOST_TEST(std::get<GateReplay>(repeat).answer.body == "whole");
     BOOST_TEST(std::get<GateReplay>(repeat).answer.status == 201);
 }
 
-BOOST_AUTO_TEST_CASE(a_key_whose_end_is_unknown_never_runs_again)
+BOOST_AUTO_TEST_CASE(a_key_with_unknown_outcome_never_runs_again)
 {
     CallGate gate = readyGate();
-    gate.arrive(call(1, "k"), sWall, at(1));
-    gate.ended(call(1, "k"), Unknown{UnknownReason::UpstreamCut}, "", at(2));
-    BOOST_TEST(is<GateUnknown>(gate.arrive(call(2, "k"), sWall, at(3))));
+    gate.admit(call(1, "k"), sWall, at(1));
+    gate.complete(call(1, "k"), Unknown{UnknownReason::UpstreamCut}, "", at(2));
+    BOOST_TEST(holds<GateUnknown>(gate.admit(call(2, "k"), sWall, at(3))));
 }
 
-BOOST_AUTO_TEST_CASE(a_key_refused_once_is_refused_for_good)
+BOOST_AUTO_TEST_CASE(a_refused_key_is_refused_on_every_repeat)
 {
     CallGate gate = readyGate();
     gate.setUpstreamAlive(false);
-    const GateDecision first = gate.arrive(call(1, "k"), sWall, at(1));
-    BOOST_REQUIRE(is<GateRefuse>(first));
+    const GateDecision first = gate.admit(call(1, "k"), sWall, at(1));
+    BOOST_REQUIRE(holds<GateRefuse>(first));
     BOOST_TEST(std::get<GateRefuse>(first).isKeySpent);
     gate.setUpstreamAlive(true);
-    const GateDecision repeat = gate.arrive(call(2, "k"), sWall, at(2));
-    BOOST_REQUIRE(is<GateRefuse>(repeat));
+    const GateDecision repeat = gate.admit(call(2, "k"), sWall, at(2));
+    BOOST_REQUIRE(holds<GateRefuse>(repeat));
     BOOST_TEST(std::get<GateRefuse>(repeat).isKeySpent);
 }
 
-BOOST_AUTO_TEST_CASE(a_key_runs_in_no_other_life_of_its_home)
+BOOST_AUTO_TEST_CASE(a_key_does_not_run_in_another_incarnation_of_its_home)
 {
-    CallGate next(sLife + 1);
+    CallGate next(sIncarnation + 1);
     next.setCapacity(2);
     next.setUpstreamAlive(true);
     next.setVersions({"v1"});
-    const GateDecision decision = next.arrive(call(1, "k"), sWall, at(1));
-    BOOST_REQUIRE(is<GateUnknown>(decision));
+    const GateDecision decision = next.admit(call(1, "k"), sWall, at(1));
+    BOOST_REQUIRE(holds<GateUnknown>(decision));
     BOOST_TEST((std::get<GateUnknown>(decision).reason == UnknownReason::HomeGone));
 }
 
-BOOST_AUTO_TEST_CASE(a_key_is_remembered_for_longer_than_it_may_be_used)
+BOOST_AUTO_TEST_CASE(a_key_is_retained_longer_than_its_lifetime)
 {
     CallGate gate = readyGate();
-    gate.arrive(call(1, "k"), sWall, at(1));
-    gate.ended(call(1, "k"), Answered{200}, "", at(2));
-    // Clocks of boxes differ by up to sClockSkew in either direction.
-    const Milliseconds last = sKeyWindow + sClockSkew;
-    BOOST_TEST(is<GateReplay>(gate.arrive(call(2, "k"), sWall + last, at(1) + last)));
-    BOOST_TEST(is<GateUnknown>(gate.arrive(call(3, "fresh"), sWall + last, at(1) + last)));
+    gate.admit(call(1, "k"), sWall, at(1));
+    gate.complete(call(1, "k"), Answered{200}, "", at(2));
+    // Clocks of boxes differ by up to sMaxClockSkew in either direction.
+    const Milliseconds last = sKeyLifetime + sMaxClockSkew;
+    BOOST_TEST(holds<GateReplay>(gate.admit(call(2, "k"), sWall + last, at(1) + last)));
+    BOOST_TEST(holds<GateUnknown>(gate.admit(call(3, "fresh"), sWall + last, at(1) + last)));
 }
 
-BOOST_AUTO_TEST_CASE(a_key_that_would_outlive_its_memory_is_refused)
+BOOST_AUTO_TEST_CASE(a_key_that_expires_after_its_retention_is_refused)
 {
     CallGate gate = readyGate();
     GateCall odd = call(1, "k");
-    odd.keyExpires = sWall + 10 * sKeyWindow;
-    BOOST_TEST(is<GateUnknown>(gate.arrive(odd, sWall, at(1))));
+    odd.keyExpires = sWall + 10 * sKeyLifetime;
+    BOOST_TEST(holds<GateUnknown>(gate.admit(odd, sWall, at(1))));
 }
--- a/tests/common/fakelog.h
+++ b/tests/common/fakelog.h
@@ -53,13 +53,13 @@
     std::uint64_t next() const { return mRecords.size(); }
 
 private:
-    struct Kept
+    struct StoredEntry
     {
         std::string data;
         Instant at;
     };
 
-    std::vector<Kept> mRecords;
+    std::vector<StoredEntry> mRecords;
     std::uint64_t mFirst = 0;
 };
 
--- a/tests/config/test_fold.cpp
+++ b/tests/config/test_fold.cpp
@@ -43,7 +43,7 @@
     BOOST_TEST(state.integer("scorer", sKey) == 4000);
 }
 
-BOOST_AUTO_TEST_CASE(the_later_of_two_racing_operators_is_refused)
+BOOST_AUTO_TEST_CASE(the_later_of_two_conflicting_changes_is_rejected)
 {
     ConfigState state = stateWithService();
     const auto first = setChange("first", 1, "/service/scorer", "calls.deadlineMs", "100");
@@ -58,7 +58,7 @@
                    .accepted);
 }
 
-BOOST_AUTO_TEST_CASE(a_race_with_a_removal_is_refused_too)
+BOOST_AUTO_TEST_CASE(a_change_that_conflicts_with_a_removal_is_rejected)
 {
     ConfigState state = stateWithService();
     state.apply(setChange("1", 1, "/", "calls.deadlineMs", "100"), 2);
@@ -71,7 +71,7 @@
     BOOST_TEST(!state.apply(setChange("2", 2, "/", "calls.deadlineMs", "300"), 4).accepted);
 }
 
-BOOST_AUTO_TEST_CASE(a_repeated_change_id_folds_to_nothing)
+BOOST_AUTO_TEST_CASE(a_repeated_change_id_is_not_applied_again)
 {
     ConfigState state = stateWithService();
     const auto change = setChange("x", 1, "/", "calls.deadlineMs", "100");
@@ -83,15 +83,15 @@
     BOOST_TEST(state.integer("scorer", sKey) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(bad_values_are_refused_and_name_the_field)
+BOOST_AUTO_TEST_CASE(invalid_values_are_rejected_with_the_field_name)
 {
     ConfigState state = stateWithService();
     const auto refusal
         = [&](const std::string &scope, const std::string &key, const std::string &value) {
               static int sNumber = 0;
-              const auto change
-                  = setChange("bad" + std::to_string(++sNumber), state.asOf(), scope, key, value);
-              const ChangeResult result = state.apply(change, state.asOf() + 1);
+              const auto change = setChange("bad" + std::to_string(++sNumber), state.lastOffset(),
+                                            scope, key, value);
+              const ChangeResult result = state.apply(change, state.lastOffset() + 1);
               BOOST_TEST(!result.accepted);
               return result.reason;
           };
@@ -106,7 +106,7 @@
     BOOST_TEST(refusal("/", "model.version", "\"v9\"").find("service") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_change_is_made_whole_or_not_at_all)
+BOOST_AUTO_TEST_CASE(a_change_is_applied_atomically)
 {
     ConfigState state = stateWithService();
     wire::ConfigChange change = setChange("both", 1, "/", "calls.deadlineMs", "100");
@@ -115,11 +115,11 @@
     BOOST_TEST(state.explain("scorer", sKey).scope == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_change_may_build_on_its_own_operations)
+BOOST_AUTO_TEST_CASE(later_operations_see_the_effects_of_earlier_ones)
 {
     ConfigState state;
     wire::ConfigChange change = createAccount("all", "center");
-    change.set_base(ConfigState::sNothing);
+    change.set_base(ConfigState::sNoOffset);
     *change.add_operations() = createService("", "scorer", "center", "").operations(0);
     const auto set = [&](const std::string &value) {
         *change.add_operations()
@@ -131,7 +131,7 @@
     BOOST_TEST(state.integer("scorer", sKey) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_change_leaves_everything_as_it_was)
+BOOST_AUTO_TEST_CASE(a_rejected_change_leaves_the_state_unchanged)
 {
     ConfigState state = stateWithService();
     state.apply(setChange("1", 1, "/", "calls.deadlineMs", "100"), 2);
@@ -153,7 +153,7 @@
     BOOST_TEST(parts(state) == before);
 }
 
-BOOST_AUTO_TEST_CASE(a_version_name_never_means_two_sets_of_weights)
+BOOST_AUTO_TEST_CASE(a_version_cannot_be_published_twice)
 {
     ConfigState state = stateWithService();
     wire::ConfigChange change;
@@ -171,32 +171,33 @@
     BOOST_TEST(!state.apply(change, 3).accepted);
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_carries_the_whole_state)
+BOOST_AUTO_TEST_CASE(a_snapshot_restores_the_complete_state)
 {
     ConfigState state = stateWithService();
     state.apply(setChange("1", 1, "/account/center", "calls.deadlineMs", "77"), 2);
     const ConfigState copy = ConfigState::fromSnapshot(state.snapshot());
-    BOOST_TEST(copy.asOf() == state.asOf());
+    BOOST_TEST(copy.lastOffset() == state.lastOffset());
     BOOST_TEST(copy.snapshot().SerializeAsString() == state.snapshot().SerializeAsString());
     BOOST_TEST(copy.fate("1").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(versions_served_before_are_kept_newest_first)
+BOOST_AUTO_TEST_CASE(previously_served_versions_are_listed_newest_first)
 {
     ConfigState state = stateWithService();
     const auto serve = [&](const std::string &version) {
         wire::ConfigChange publish;
-        publish.set_change_id("publish " + version + std::to_string(state.asOf()));
+        publish.set_change_id("publish " + version + std::to_string(state.lastOffset()));
         wire::PublishVersion &one = *publish.add_operations()->mutable_publish_version();
         one.set_service("scorer");
         one.set_version(version);
         one.set_manifest_digest(std::string(64, 'a'));
         one.set_size_bytes(10);
         one.set_chunk_bytes(4096);
-        state.apply(publish, state.asOf() + 1);
-        const auto change = setChange("serve " + std::to_string(state.asOf()), state.asOf(),
-                                      "/service/scorer", "model.version", "\"" + version + "\"");
-        BOOST_TEST(state.apply(change, state.asOf() + 1).accepted);
+        state.apply(publish, state.lastOffset() + 1);
+        const auto change
+            = setChange("serve " + std::to_string(state.lastOffset()), state.lastOffset(),
+                        "/service/scorer", "model.version", "\"" + version + "\"");
+        BOOST_TEST(state.apply(change, state.lastOffset() + 1).accepted);
     };
     for (const char *version : {"v1", "v2", "v3", "v2"}) {
         serve(version);
--- a/tests/config/test_replica.cpp
+++ b/tests/config/test_replica.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 /** A log with an account and @p changes values, each overwriting the last. */
-FakeLog logWith(int changes)
+FakeLog makeLog(int changes)
 {
     FakeLog log;
     log.append(createAccount("a", "center"), at(0));
@@ -36,9 +36,9 @@
     }
 }
 
-FeedResult readAll(ConfigReplica &replica, const FakeLog &log, Instant now)
+ApplyResult applyNewRecords(ConfigReplica &replica, const FakeLog &log, Instant now)
 {
-    return replica.feedLog(log.read(replica.readFrom(), now), log.first(), now);
+    return replica.applyLog(log.read(replica.nextReadOffset(), now), log.first(), now);
 }
 
 std::int64_t value(const ConfigReplica &replica)
@@ -48,45 +48,45 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_replica_follows_the_log)
+BOOST_AUTO_TEST_CASE(a_replica_applies_the_log)
 {
-    FakeLog log = logWith(5);
+    FakeLog log = makeLog(5);
     ConfigReplica replica;
-    BOOST_TEST((readAll(replica, log, at(10)) == FeedResult::Applied));
+    BOOST_TEST((applyNewRecords(replica, log, at(10)) == ApplyResult::Applied));
     BOOST_TEST(value(replica) == 5);
     BOOST_TEST(replica.nextOffset() == log.next());
 }
 
-BOOST_AUTO_TEST_CASE(a_gap_is_never_folded_over)
+BOOST_AUTO_TEST_CASE(records_after_a_gap_are_not_applied)
 {
-    FakeLog log = logWith(5);
+    FakeLog log = makeLog(5);
     log.trimTo(3); // no snapshot anywhere
     ConfigReplica replica;
-    BOOST_TEST((readAll(replica, log, at(10)) == FeedResult::Gap));
+    BOOST_TEST((applyNewRecords(replica, log, at(10)) == ApplyResult::Gap));
     BOOST_TEST(!replica.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(a_new_box_boots_from_the_newest_snapshot)
+BOOST_AUTO_TEST_CASE(a_new_replica_starts_from_the_newest_snapshot)
 {
-    FakeLog log = logWith(5);
+    FakeLog log = makeLog(5);
     ConfigReplica writer;
-    readAll(writer, log, at(10));
+    applyNewRecords(writer, log, at(10));
     writeSnapshot(log, writer, at(10));
     log.append(setChange("late", log.next(), "/", "calls.deadlineMs", "99"), at(20));
     log.trimTo(6);
     ConfigReplica replica;
-    BOOST_TEST((readAll(replica, log, at(30)) == FeedResult::Applied));
+    BOOST_TEST((applyNewRecords(replica, log, at(30)) == ApplyResult::Applied));
     BOOST_TEST(value(replica) == 99);
-    readAll(writer, log, at(30));
+    applyNewRecords(writer, log, at(30));
     BOOST_TEST(replica.state().snapshot().SerializeAsString()
                == writer.state().snapshot().SerializeAsString());
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_that_does_not_reach_the_kept_records_is_not_used)
+BOOST_AUTO_TEST_CASE(a_snapshot_that_leaves_a_gap_before_the_log_start_is_not_used)
 {
-    FakeLog log = logWith(3);
+    FakeLog log = makeLog(3);
     ConfigReplica early;
-    readAll(early, log, at(5));
+    applyNewRecords(early, log, at(5));
     const auto old = snapshotRecords(early.state().snapshot());
     for (int i = 0; i < 4; ++i) {
         log.append(setChange("m" + std::to_string(i), log.next() - 1, "/", "calls.deadlineMs",
@@ -98,93 +98,93 @@
         log.append(record.SerializeAsString(), at(7));
     }
     ConfigReplica replica;
-    BOOST_TEST((readAll(replica, log, at(8)) == FeedResult::Gap));
+    BOOST_TEST((applyNewRecords(replica, log, at(8)) == ApplyResult::Gap));
     BOOST_TEST(!replica.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(a_frozen_box_catches_up_over_a_snapshot_and_never_goes_back)
+BOOST_AUTO_TEST_CASE(a_replica_behind_the_log_start_catches_up_from_a_snapshot)
 {
-    FakeLog log = logWith(3);
+    FakeLog log = makeLog(3);
     ConfigReplica frozen;
     ConfigReplica writer;
-    readAll(frozen, log, at(5));
+    applyNewRecords(frozen, log, at(5));
     for (int i = 0; i < 20; ++i) {
         log.append(setChange("n" + std::to_string(i), log.next() - 1, "/", "calls.deadlineMs",
                              std::to_string(100 + i)),
                    at(6));
     }
-    readAll(writer, log, at(7));
+    applyNewRecords(writer, log, at(7));
     writeSnapshot(log, writer, at(7));
     log.trimTo(15);
     const std::uint64_t before = frozen.nextOffset();
-    BOOST_TEST((readAll(frozen, log, at(9)) == FeedResult::Applied));
+    BOOST_TEST((applyNewRecords(frozen, log, at(9)) == ApplyResult::Applied));
     BOOST_TEST(frozen.nextOffset() > before);
     BOOST_TEST(value(frozen) == 119);
 }
 
-BOOST_AUTO_TEST_CASE(an_old_snapshot_from_a_peer_reverts_nothing)
+BOOST_AUTO_TEST_CASE(an_older_snapshot_from_a_peer_is_ignored)
 {
-    FakeLog log = logWith(3);
+    FakeLog log = makeLog(3);
     ConfigReplica replica;
-    readAll(replica, log, at(5));
+    applyNewRecords(replica, log, at(5));
     wire::ConfigUpdate old;
     *old.mutable_snapshot() = replica.state().snapshot();
     log.append(setChange("new", log.next() - 1, "/", "calls.deadlineMs", "500"), at(6));
-    readAll(replica, log, at(7));
-    replica.feedPeer(old, at(8));
+    applyNewRecords(replica, log, at(7));
+    replica.applyPeerUpdate(old, at(8));
     BOOST_TEST(value(replica) == 500);
     BOOST_TEST(replica.nextOffset() == log.next());
 }
 
-BOOST_AUTO_TEST_CASE(peers_equalise_while_the_log_is_down)
+BOOST_AUTO_TEST_CASE(peers_synchronize_while_the_log_is_unavailable)
 {
-    FakeLog log = logWith(3);
+    FakeLog log = makeLog(3);
     ConfigReplica ahead;
     ConfigReplica behind;
     ConfigReplica fresh;
-    readAll(behind, log, at(5));
+    applyNewRecords(behind, log, at(5));
     log.append(setChange("last", log.next() - 1, "/", "calls.deadlineMs", "321"), at(6));
-    readAll(ahead, log, at(7));
-    const auto delta = ahead.updateFor(behind.state().asOf(), true);
+    applyNewRecords(ahead, log, at(7));
+    const auto delta = ahead.updateFor(behind.state().lastOffset(), true);
     BOOST_REQUIRE(delta.has_value());
     BOOST_TEST(!delta->has_snapshot());
     BOOST_TEST(delta->records_size() == 1);
-    behind.feedPeer(*delta, at(8));
+    behind.applyPeerUpdate(*delta, at(8));
     BOOST_TEST(value(behind) == 321);
     const auto whole = ahead.updateFor(0, false);
     BOOST_REQUIRE(whole.has_value());
-    fresh.feedPeer(*whole, at(9));
+    fresh.applyPeerUpdate(*whole, at(9));
     BOOST_TEST(value(fresh) == 321);
-    BOOST_TEST(!ahead.updateFor(fresh.state().asOf(), true).has_value());
+    BOOST_TEST(!ahead.updateFor(fresh.state().lastOffset(), true).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_far_behind_gets_a_snapshot)
+BOOST_AUTO_TEST_CASE(a_peer_behind_the_retained_tail_gets_a_snapshot)
 {
-    FakeLog log = logWith(static_cast<int>(ConfigReplica::sTailKept) + 50);
+    FakeLog log = makeLog(static_cast<int>(ConfigReplica::sMaxTailRecords) + 50);
     ConfigReplica ahead;
-    readAll(ahead, log, at(5));
+    applyNewRecords(ahead, log, at(5));
     const auto update = ahead.updateFor(3, true);
     BOOST_REQUIRE(update.has_value());
     BOOST_TEST(update->has_snapshot());
 }
 
-BOOST_AUTO_TEST_CASE(records_that_skip_some_are_refused)
+BOOST_AUTO_TEST_CASE(peer_records_after_a_gap_are_rejected)
 {
-    FakeLog log = logWith(5);
+    FakeLog log = makeLog(5);
     ConfigReplica replica;
     wire::ConfigUpdate update;
     for (const wire::StoredRecord &record : log.read(2, at(1))) {
         *update.add_records() = record;
     }
-    BOOST_TEST((replica.feedPeer(update, at(1)) == FeedResult::Gap));
+    BOOST_TEST((replica.applyPeerUpdate(update, at(1)) == ApplyResult::Gap));
     BOOST_TEST(!replica.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(corrupt_snapshots_are_not_adopted)
+BOOST_AUTO_TEST_CASE(corrupt_snapshots_are_not_installed)
 {
-    FakeLog log = logWith(5);
+    FakeLog log = makeLog(5);
     ConfigReplica writer;
-    readAll(writer, log, at(5));
+    applyNewRecords(writer, log, at(5));
     auto records = snapshotRecords(writer.state().snapshot());
     std::string &data = *records.back().mutable_snapshot_chunk()->mutable_data();
     data[data.size() / 2] ^= 1;
@@ -193,20 +193,20 @@
     }
     log.trimTo(6);
     ConfigReplica replica;
-    BOOST_TEST((readAll(replica, log, at(7)) == FeedResult::Gap));
+    BOOST_TEST((applyNewRecords(replica, log, at(7)) == ApplyResult::Gap));
     BOOST_TEST(!replica.isReady());
 }
 
-BOOST_AUTO_TEST_CASE(snapshots_are_due_by_count_and_before_they_expire)
+BOOST_AUTO_TEST_CASE(snapshots_are_due_by_change_count_and_before_retention_ends)
 {
     SnapshotPolicy policy;
-    policy.changes = 10;
+    policy.maxChanges = 10;
     policy.retention = Milliseconds(30'000);
-    FakeLog log = logWith(9);
+    FakeLog log = makeLog(9);
     ConfigReplica replica;
-    readAll(replica, log, at(9));
+    applyNewRecords(replica, log, at(9));
     writeSnapshot(log, replica, at(10));
-    readAll(replica, log, at(10));
+    applyNewRecords(replica, log, at(10));
     BOOST_TEST(!policy.delay(replica, 0, at(20)).has_value());
     // Even with no further change the snapshot must be renewed while it lives.
     BOOST_TEST(policy.delay(replica, 0, at(10'011)).has_value());
@@ -216,6 +216,6 @@
                              std::to_string(i + 1)),
                    at(30));
     }
-    readAll(replica, log, at(31));
+    applyNewRecords(replica, log, at(31));
     BOOST_TEST(policy.delay(replica, 0, at(32)).has_value());
 }
--- a/tests/faults/test_config_faults.cpp
+++ b/tests/faults/test_config_faults.cpp
@@ -63,7 +63,7 @@
         if (mPlan.strikes(Fault::LogDown, Append)) {
             return;
         }
-        const std::uint64_t base = mEntries[0].isReady() ? mEntries[0].state().asOf() : 0;
+        const std::uint64_t base = mEntries[0].isReady() ? mEntries[0].state().lastOffset() : 0;
         const auto made = setChange(id, base, "/", "calls.deadlineMs", std::to_string(value));
         if (mPlan.strikes(Fault::OperatorRace, Append)) {
             mLog.append(setChange("rival", base, "/", "calls.deadlineMs", "7"), now());
@@ -94,7 +94,7 @@
             --mSkip[index];
             return;
         }
-        entry.feedLog(mLog.read(entry.readFrom(), now()), mLog.first(), now());
+        entry.applyLog(mLog.read(entry.nextReadOffset(), now()), mLog.first(), now());
         watch(entry, mSeen[index]);
     }
 
@@ -109,7 +109,8 @@
         }
         const bool hasConfig = mAgent.isReady();
         for (const ConfigReplica &entry : mEntries) {
-            const auto update = entry.updateFor(hasConfig ? mAgent.state().asOf() : 0, hasConfig);
+            const auto update
+                = entry.updateFor(hasConfig ? mAgent.state().lastOffset() : 0, hasConfig);
             if (!update) {
                 continue;
             }
@@ -117,11 +118,11 @@
                 mLate = update; // comes after newer ones
                 continue;
             }
-            mAgent.feedPeer(*update, now());
+            mAgent.applyPeerUpdate(*update, now());
             watch(mAgent, mAgentSeen);
         }
         if (mLate && mMilliseconds > 40) {
-            mAgent.feedPeer(*mLate, now());
+            mAgent.applyPeerUpdate(*mLate, now());
             watch(mAgent, mAgentSeen);
         }
     }
@@ -149,7 +150,7 @@
         if (!mPlan.strikes(Fault::Delay, Trim)) {
             // The worst that retention allows while a snapshot is renewed in time:
             // everything that the snapshot covers is gone.
-            mLog.trimTo(mEntries[0].state().asOf() + 1);
+            mLog.trimTo(mEntries[0].state().lastOffset() + 1);
         }
     }
 
@@ -157,7 +158,7 @@
     {
         const bool outage = mPlan.strikes(Fault::LogDown, Boot);
         if (!outage) {
-            mLateBox.feedLog(mLog.read(mLateBox.readFrom(), now()), mLog.first(), now());
+            mLateBox.applyLog(mLog.read(mLateBox.nextReadOffset(), now()), mLog.first(), now());
         }
         if (mPlan.strikes(Fault::Kill, Boot)) {
             mLateBox = ConfigReplica();
@@ -170,14 +171,14 @@
         std::vector<ConfigReplica *> all{&mEntries[0], &mEntries[1], &mAgent, &mLateBox};
         for (int round = 0; round < 2; ++round) {
             for (ConfigReplica *replica : {all[0], all[1], all[3]}) {
-                replica->feedLog(mLog.read(replica->readFrom(), now()), mLog.first(), now());
+                replica->applyLog(mLog.read(replica->nextReadOffset(), now()), mLog.first(), now());
             }
             for (const ConfigReplica *from : all) {
                 for (ConfigReplica *to : all) {
                     const bool has = to->isReady();
-                    const auto update = from->updateFor(has ? to->state().asOf() : 0, has);
+                    const auto update = from->updateFor(has ? to->state().lastOffset() : 0, has);
                     if (update) {
-                        to->feedPeer(*update, now());
+                        to->applyPeerUpdate(*update, now());
                     }
                 }
             }
--- a/tests/faults/test_once_faults.cpp
+++ b/tests/faults/test_once_faults.cpp
@@ -12,8 +12,8 @@
 #include "callgate.h"
 #include "claimtable.h"
 #include "fakelog.h"
+#include "idempotencykey.h"
 #include "matrix.h"
-#include "oncekey.h"
 
 using namespace Loom;
 
@@ -143,9 +143,9 @@
     {
         GateCall call;
         call.attempt = {"entry#1", ++mSequence};
-        call.onceKey = mKey;
+        call.idempotencyKey = mKey;
         call.homeIncarnation = incarnation;
-        call.keyExpires = sWall + sKeyWindow;
+        call.keyExpires = sWall + sKeyLifetime;
         call.timeLeft = Milliseconds(1'000);
         if (mPlan.strikes(Fault::Kill, Send)) {
             kill(home);
@@ -163,7 +163,7 @@
         if (mPlan.strikes(Fault::VersionChange, Begin)) {
             call.version = "v2"; // not loaded there
         }
-        return arrive(home, call);
+        return admit(home, call);
     }
 
     Outcome giveUp(std::size_t home, const GateCall &call)
@@ -173,10 +173,10 @@
         return revoked ? Unknown{UnknownReason::NotSettled} : Unknown{UnknownReason::LinkCut};
     }
 
-    Outcome arrive(std::size_t home, const GateCall &call)
+    Outcome admit(std::size_t home, const GateCall &call)
     {
         CallGate &gate = mGates[home];
-        const GateDecision decision = gate.arrive(call, sWall, now());
+        const GateDecision decision = gate.admit(call, sWall, now());
         if (const auto *refuse = std::get_if<GateRefuse>(&decision)) {
             return refuse->isKeySpent ? Outcome(refuse->refusal)
                                       : Outcome(Unknown{UnknownReason::NotSettled});
@@ -197,7 +197,7 @@
             return Unknown{UnknownReason::LinkCut};
         }
         if (mPlan.strikes(Fault::Cut, Begin)) { // the upstream cannot be reached
-            mGates[home].ended(call, NotRun{RefusalReason::UpstreamUnreachable, {}}, "", now());
+            mGates[home].complete(call, NotRun{RefusalReason::UpstreamUnreachable, {}}, "", now());
             return NotRun{RefusalReason::UpstreamUnreachable, {}};
         }
         ++mRuns;
@@ -208,7 +208,7 @@
         const bool lost = mPlan.strikes(Fault::LostAnswer, Run) || mPlan.strikes(Fault::Cut, Run);
         const Outcome outcome
             = lost ? Outcome(Unknown{UnknownReason::UpstreamCut}) : Outcome(Answered{200});
-        mGates[home].ended(call, outcome, "whole", now());
+        mGates[home].complete(call, outcome, "whole", now());
         if (mPlan.strikes(Fault::Kill, Answer)) {
             kill(home);
             return Unknown{UnknownReason::LinkCut};
@@ -222,7 +222,7 @@
     void deliverHeld()
     {
         for (const Held &held : std::exchange(mHeld, {})) {
-            arrive(held.home, held.call);
+            admit(held.home, held.call);
         }
         for (const std::string &claim : std::exchange(mLateClaims, {})) {
             mLog.append(claim, now());
--- a/tests/gateway/stagelab.h
+++ b/tests/gateway/stagelab.h
@@ -37,8 +37,8 @@
     static Manifest manifestOf(std::uint64_t version)
     {
         const std::string bytes = weightsOf(version);
-        return Manifest::ofWeights("m", std::to_string(version), std::as_bytes(std::span(bytes)),
-                                   sChunkBytes);
+        return Manifest::fromWeights("m", std::to_string(version), std::as_bytes(std::span(bytes)),
+                                     sChunkBytes);
     }
 
     awaitable<std::optional<EngineReport>> report(std::uint32_t) override
--- a/tests/leases/test_orderlease.cpp
+++ b/tests/leases/test_orderlease.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-OrderLease::Options options(bool engineChecks)
+OrderLease::Options options(bool engineChecksFence)
 {
     OrderLease::Options made;
-    made.engineChecks = engineChecks;
+    made.engineChecksFence = engineChecksFence;
     return made;
 }
 
@@ -30,7 +30,7 @@
 {
     for (Instant now = from; now < until; now += Milliseconds(50)) {
         lease.feed(log.read(lease.nextOffset(), now), now);
-        if (lease.permit(now)) {
+        if (lease.fencingNumber(now)) {
             return now;
         }
         if (const auto claim = lease.claimIfDue(now)) {
@@ -42,7 +42,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_only_agent_gets_its_lease_at_once)
+BOOST_AUTO_TEST_CASE(an_uncontended_lease_is_granted_immediately)
 {
     FakeLog log;
     OrderLease lease("box", 1, options(false));
@@ -51,7 +51,7 @@
     BOOST_TEST((*got < at(200)));
 }
 
-BOOST_AUTO_TEST_CASE(a_successor_waits_until_the_holder_has_surely_stopped)
+BOOST_AUTO_TEST_CASE(a_successor_waits_until_the_holders_lease_has_expired)
 {
     FakeLog log;
     OrderLease holder("box", 1, options(false));
@@ -60,12 +60,12 @@
     const auto taken = acquire(successor, log, at(2'000), at(60'000));
     BOOST_REQUIRE(taken.has_value());
     // The holder never read the successor's claim: it was frozen meanwhile.
-    const OrderLease::Options standard;
-    BOOST_TEST(!holder.permit(*taken - standard.orderDelay).has_value());
-    BOOST_TEST(!holder.permit(*taken).has_value());
+    const OrderLease::Options defaults;
+    BOOST_TEST(!holder.fencingNumber(*taken - defaults.maxOrderDelay).has_value());
+    BOOST_TEST(!holder.fencingNumber(*taken).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_claim_sent_before_the_other_was_read_waits_too)
+BOOST_AUTO_TEST_CASE(the_later_of_two_concurrent_claims_waits)
 {
     FakeLog log;
     OrderLease first("box", 1, options(false));
@@ -76,20 +76,20 @@
     // The first is frozen and has read only its own claim.
     const auto own = log.read(0, at(30));
     first.feed({own.data(), 1}, at(30));
-    BOOST_TEST(first.permit(at(40)).has_value());
-    BOOST_TEST(!second.permit(at(40)).has_value());
+    BOOST_TEST(first.fencingNumber(at(40)).has_value());
+    BOOST_TEST(!second.fencingNumber(at(40)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_holder_thawed_past_its_lease_gives_no_order)
+BOOST_AUTO_TEST_CASE(a_holder_suspended_past_its_lease_sends_no_order)
 {
     FakeLog log;
     OrderLease holder("box", 1, options(false));
     BOOST_REQUIRE(acquire(holder, log, at(0), at(1'000)));
-    BOOST_TEST(holder.permit(at(10'000)).has_value());
-    BOOST_TEST(!holder.permit(at(18'000)).has_value());
+    BOOST_TEST(holder.fencingNumber(at(10'000)).has_value());
+    BOOST_TEST(!holder.fencingNumber(at(18'000)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_checks_lets_the_successor_go_at_once)
+BOOST_AUTO_TEST_CASE(an_engine_that_checks_fencing_needs_no_waiting_time)
 {
     FakeLog log;
     OrderLease holder("box", 1, options(true));
@@ -98,10 +98,10 @@
     const auto taken = acquire(successor, log, at(2'000), at(60'000));
     BOOST_REQUIRE(taken.has_value());
     BOOST_TEST((*taken < at(2'500)));
-    BOOST_TEST(*successor.permit(*taken) > *holder.permit(*taken));
+    BOOST_TEST(*successor.fencingNumber(*taken) > *holder.fencingNumber(*taken));
 }
 
-BOOST_AUTO_TEST_CASE(a_claim_whose_append_was_lost_gives_no_later_end)
+BOOST_AUTO_TEST_CASE(a_lost_renewal_does_not_extend_the_lease)
 {
     // Sent twice; only the first copy reached the log. Counting from the
     // second would let the holder go on after a successor has begun.
@@ -112,28 +112,29 @@
     log.append(first->SerializeAsString(), at(10));
     BOOST_REQUIRE(holder.claimIfDue(at(5'000)).has_value()); // answer lost; this one vanishes
     holder.feed(log.read(0, at(5'100)), at(5'100));
-    BOOST_TEST(holder.permit(at(17'900)).has_value());
-    BOOST_TEST(!holder.permit(at(18'000)).has_value());
+    BOOST_TEST(holder.fencingNumber(at(17'900)).has_value());
+    BOOST_TEST(!holder.fencingNumber(at(18'000)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_renewal_that_lands_late_does_not_revive_a_lost_term)
+BOOST_AUTO_TEST_CASE(a_late_renewal_does_not_revive_a_lost_term)
 {
     FakeLog log;
-    OrderLease old("box", 1, options(false));
-    OrderLease fresh("box", 2, options(false));
-    BOOST_REQUIRE(acquire(old, log, at(0), at(1'000)));
-    const auto renewal = old.claimIfDue(at(15'000)); // under way while the box freezes
+    OrderLease suspended("box", 1, options(false));
+    OrderLease successor("box", 2, options(false));
+    BOOST_REQUIRE(acquire(suspended, log, at(0), at(1'000)));
+    const auto renewal = suspended.claimIfDue(at(15'000)); // under way while the box freezes
     BOOST_REQUIRE(renewal.has_value());
-    const auto taken = acquire(fresh, log, at(15'100), at(100'000));
+    const auto taken = acquire(successor, log, at(15'100), at(100'000));
     BOOST_REQUIRE(taken.has_value());
     log.append(renewal->SerializeAsString(), *taken);
-    old.feed(log.read(old.nextOffset(), *taken), *taken);
-    BOOST_TEST(!old.permit(*taken).has_value());
-    fresh.feed(log.read(fresh.nextOffset(), *taken), *taken);
-    BOOST_TEST(!(old.permit(*taken + Milliseconds(1)) && fresh.permit(*taken + Milliseconds(1))));
+    suspended.feed(log.read(suspended.nextOffset(), *taken), *taken);
+    BOOST_TEST(!suspended.fencingNumber(*taken).has_value());
+    successor.feed(log.read(successor.nextOffset(), *taken), *taken);
+    BOOST_TEST(!(suspended.fencingNumber(*taken + Milliseconds(1))
+                 && successor.fencingNumber(*taken + Milliseconds(1))));
 }
 
-BOOST_AUTO_TEST_CASE(random_schedules_never_permit_two_holders_at_once)
+BOOST_AUTO_TEST_CASE(random_schedules_never_allow_two_holders_at_once)
 {
     // Three lives of one box freeze, thaw, lose appends and read late.
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -160,7 +161,7 @@
             });
             int holders = 0;
             for (std::size_t i = 0; i < lives.size(); ++i) {
-                holders += lives[i].permit(now) ? 1 : 0;
+                holders += lives[i].fencingNumber(now) ? 1 : 0;
                 if (now < frozenUntil[i]) {
                     continue;
                 }
--- a/tests/routing/test_routing.cpp
+++ b/tests/routing/test_routing.cpp
@@ -194,8 +194,8 @@
     BOOST_TEST(counters.coverage(std::chrono::minutes(5), later) == 1.0);
     BOOST_TEST(counters.coverage(std::chrono::minutes(60), later) < 0.34);
     BOOST_TEST(burnRate({100, 10, 0, 0}, 950) == 2.0, boost::test_tools::tolerance(1e-9));
-    BOOST_TEST(burnVerdict(20, 15) == "page");
-    BOOST_TEST(burnVerdict(20, 1) == "ok");
+    BOOST_TEST(burnAlert(20, 15) == "page");
+    BOOST_TEST(burnAlert(20, 1) == "ok");
 }
 
 BOOST_AUTO_TEST_CASE(rendezvous_moves_only_what_it_must)
--- a/tests/settings/test_settings.cpp
+++ b/tests/settings/test_settings.cpp
@@ -16,7 +16,7 @@
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(problems_name_file_field_expected_and_found)
+BOOST_AUTO_TEST_CASE(errors_name_file_field_expected_and_found_value)
 {
     const auto object
         = jsonObject(R"({"box": 5, "inner": {"port": "x", "odd": 1}, "extra": true})");
@@ -35,14 +35,14 @@
     BOOST_TEST(problems[3] == "a.json: field 'extra': expected no such field, found true");
 }
 
-BOOST_AUTO_TEST_CASE(every_standard_value_is_valid)
+BOOST_AUTO_TEST_CASE(every_default_value_is_valid)
 {
     for (const SettingSpec &spec : settingSpecs()) {
-        BOOST_TEST(!settingProblem(spec.key, spec.standard).has_value(), spec.key);
+        BOOST_TEST(!settingError(spec.key, spec.defaultJson).has_value(), spec.key);
     }
 }
 
-BOOST_AUTO_TEST_CASE(bad_changes_name_the_field)
+BOOST_AUTO_TEST_CASE(errors_in_changes_name_the_field)
 {
     const auto problem = [](std::string_view text) {
         const auto change = changeFromJson(jsonObject(text));
--- a/tests/weights/test_chunkplan.cpp
+++ b/tests/weights/test_chunkplan.cpp
@@ -255,14 +255,14 @@
         weights[i] = static_cast<char>(i * 31);
     }
     const auto bytes = std::as_bytes(std::span(weights.data(), weights.size()));
-    const Manifest made = Manifest::ofWeights("scorer", "v1", bytes, 4'096);
+    const Manifest made = Manifest::fromWeights("scorer", "v1", bytes, 4'096);
     BOOST_TEST(made.chunkCount() == 3u);
     BOOST_TEST(made.chunkSize(2) == 10'000u - 2 * 4'096u);
     const auto parsed = Manifest::parse(made.text());
     BOOST_REQUIRE(parsed.has_value());
     BOOST_TEST(parsed->text() == made.text());
     weights[5'000] ^= 1;
-    BOOST_TEST(Manifest::ofWeights("scorer", "v1", bytes, 4'096).text() != made.text());
+    BOOST_TEST(Manifest::fromWeights("scorer", "v1", bytes, 4'096).text() != made.text());
     BOOST_TEST(!Manifest::parse("{}").has_value());
     BOOST_TEST(!Manifest::parse("no").has_value());
 }
