--- a/src/libloomjunction/core/attemptledger.cpp
+++ b/src/libloomjunction/core/attemptledger.cpp
@@ -16,7 +16,7 @@
 {
     removeExpired(now);
     EntryLedger &ledger = ledgerFor(attempt.entry, now);
-    // Behind the horizon a tombstone may have been forgotten: refusing is the safe side.
+    // A tombstone at or below the horizon may have been evicted, so the attempt is refused.
     if (attempt.sequence <= ledger.horizon || ledger.attempts.contains(attempt.sequence)) {
         return false;
     }
--- a/src/libloomjunction/core/attemptledger.h
+++ b/src/libloomjunction/core/attemptledger.h
@@ -19,42 +19,43 @@
 
 namespace Loom {
 
-/** One try of a request: the entry's name with its incarnation, and a sequence that only grows. */
+/** Identifies one attempt of a request: the entry with its incarnation, and a monotonic sequence.
+ */
 struct AttemptKey
 {
     std::string entry;
     std::uint64_t sequence = 0;
 };
 
-/** What a revocation found. */
+/** Result of revoking an attempt. */
 enum class RevokeResult : std::uint8_t
 {
-    Revoked, ///< not started, and it never will be
-    Started, ///< it ran or runs
-    TooOld, ///< forgotten; it cannot be said
+    Revoked, ///< the attempt has not started and never will
+    Started, ///< the attempt is running or has run
+    TooOld, ///< the attempt is no longer recorded, so its state is unknown
 };
 
 /**
- * Remembers which attempts an agent started and which were revoked before
- * they started, so that "not run" stays true when a late copy arrives.
- * Owned by the agent's call gate.
+ * Records which attempts an agent started and which were revoked before they
+ * started. An attempt that was reported as "not run" therefore stays that way
+ * when a delayed duplicate arrives. Owned by the agent's call gate.
  */
 class AttemptLedger
 {
 public:
-    /** True when @p attempt may start; false when it was revoked, seen before or is too old. */
+    /** Returns false if @p attempt was revoked, has been seen before or is too old. */
     bool tryStart(const AttemptKey &attempt, Instant now);
 
-    /** Lays a tombstone for @p attempt unless it had started. */
+    /** Records a tombstone for @p attempt unless it has already started. */
     RevokeResult revoke(const AttemptKey &attempt, Instant now);
 
     std::size_t size() const { return mByAge.size(); }
 
-    /** How long an attempt is remembered. */
+    /** How long an attempt is recorded. */
     static constexpr Milliseconds sRetention{120'000};
-    /** Attempts remembered at most; older ones are forgotten behind a horizon. */
+    /** Limit of recorded attempts; the oldest are evicted and covered by the entry's horizon. */
     static constexpr std::size_t sMaxAttempts = 65'536;
-    /** Entry incarnations remembered at most. */
+    /** Limit of recorded entry incarnations. */
     static constexpr std::size_t sMaxEntries = 4'096;
 
 private:
@@ -67,7 +68,7 @@
     struct EntryLedger
     {
         std::unordered_map<std::uint64_t, State> attempts;
-        std::uint64_t horizon = 0; ///< sequences up to this one may have been forgotten
+        std::uint64_t horizon = 0; ///< sequences up to this one may have been evicted
         Instant lastUsed;
     };
 
--- a/src/libloomjunction/core/burnreport.cpp
+++ b/src/libloomjunction/core/burnreport.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Burn rates of the usual multi-window alerts: two days' and ten days' budget.
+// Usual burn rates of multi-window alerts, which spend a budget of 30 days in about 2 or 10 days.
 constexpr double sPageBurnRate = 14.4;
 constexpr double sTicketBurnRate = 3.0;
 constexpr double sPerMille = 1000.0;
--- a/src/libloomjunction/core/burnreport.h
+++ b/src/libloomjunction/core/burnreport.h
@@ -21,7 +21,7 @@
 
 namespace Loom {
 
-/** Requests of one span of time. Counters add up across entries. */
+/** Request counts of a time window. The counts of several entries can be added. */
 struct BurnCounts
 {
     std::uint64_t total = 0;
@@ -32,7 +32,7 @@
     void add(const BurnCounts &other);
 };
 
-/** Whose counters these are. */
+/** Identifies the counters of one client account of a service. */
 struct BurnSeries
 {
     std::string service;
@@ -41,21 +41,21 @@
     auto operator<=>(const BurnSeries &) const = default;
 };
 
-/** The spans that a burn report looks back over, short with long. */
+/** The time windows of a burn report, from short to long. */
 constexpr std::array<std::chrono::minutes, 4> sBurnWindows{
     std::chrono::minutes(5), std::chrono::minutes(30), std::chrono::minutes(60),
     std::chrono::minutes(360)};
 
-/** Error-budget burn of one window: 1 spends the budget exactly over the objective's period. */
+/** Burn rate of one window; at 1 the error budget lasts exactly for the period of the objective. */
 struct BurnWindow
 {
     std::chrono::minutes span{0};
     BurnCounts counts;
     double burn = 0;
-    double coverage = 0; ///< part of the window that the counters cover, 0 to 1
+    double coverage = 0; ///< fraction of the window that the counters cover, 0 to 1
 };
 
-/** Keeps the counters of one entry in one-minute buckets. Owned by the burn service. */
+/** Stores the counters of one entry in buckets of one minute. Owned by the burn service. */
 class BurnCounters
 {
 public:
@@ -68,10 +68,10 @@
 
     BurnCounts counts(const BurnSeries &series, std::chrono::minutes span, Instant now) const;
     std::vector<BurnSeries> series() const;
-    /** Part of @p span for which this entry has been counting. */
+    /** Returns the fraction of @p span for which this entry has been counting, 0 to 1. */
     double coverage(std::chrono::minutes span, Instant now) const;
 
-    /** Series kept at most; further ones are counted under account "(other)". */
+    /** Limit of series; requests of further ones are counted for the account "(other)". */
     static constexpr std::size_t sMaxSeries = 2'000;
 
 private:
@@ -85,10 +85,10 @@
     std::map<BurnSeries, std::deque<Bucket>> mBuckets;
 };
 
-/** Burn of @p counts against an objective of @p targetPerMille good requests. */
+/** Returns the burn rate of @p counts for an objective of @p targetPerMille good requests. */
 double burnRate(const BurnCounts &counts, std::int64_t targetPerMille);
 
-/** What an operator should do about a short and a long window together. */
+/** Returns the alert level for the burn rates of a short and a long window. */
 std::string_view burnAlert(double shortBurn, double longBurn);
 
 } // namespace Loom
--- a/src/libloomjunction/core/callgate.cpp
+++ b/src/libloomjunction/core/callgate.cpp
@@ -49,7 +49,8 @@
 
 GateDecision CallGate::beginKeyed(const GateCall &call, WallMilliseconds wallNow, Instant now)
 {
-    // The key's own memory goes first: what ran is answered so even while leaving.
+    // Recorded keys are checked first: the result of a call that has run is
+    // returned even while this agent is leaving.
     const KeyDecision decision
         = mKeyTable.begin(call.idempotencyKey, call.homeIncarnation, call.keyExpires, wallNow, now);
     return std::visit(
--- a/src/libloomjunction/core/callgate.h
+++ b/src/libloomjunction/core/callgate.h
@@ -22,31 +22,31 @@
 
 namespace Loom {
 
-/** A call as it arrives at an agent. */
+/** A call received by an agent. */
 struct GateCall
 {
     AttemptKey attempt;
-    std::string version; ///< empty for plain services
-    std::string idempotencyKey; ///< empty for calls that may be repeated
-    std::uint64_t homeIncarnation = 0; ///< the only incarnation that may run idempotencyKey
+    std::string version; ///< empty for services without model versions
+    std::string idempotencyKey; ///< empty for calls that may run more than once
+    std::uint64_t homeIncarnation = 0; ///< the only incarnation that may run the key
     WallMilliseconds keyExpires{0};
     Milliseconds timeLeft{0};
 };
 
 struct GateRun
 {
-}; ///< hand it to the upstream; ended() must follow
+}; ///< pass the call to the upstream, then call complete()
 struct GateWait
 {
-}; ///< its key runs just now; ask again when that ended
+}; ///< the key is running; use admitAfterWait() once it has finished
 struct GateReplay
 {
     StoredAnswer answer;
-}; ///< its key ran before
+}; ///< the key has already run; this is its answer
 struct GateRefuse
 {
     NotRun refusal;
-    bool isKeySpent = false; ///< the call's key never runs; every repeat hears the same
+    bool isKeySpent = false; ///< the key never runs; every repeat is refused as well
 };
 struct GateUnknown
 {
@@ -56,9 +56,8 @@
 using GateDecision = std::variant<GateRun, GateWait, GateReplay, GateRefuse, GateUnknown>;
 
 /**
- * Decides at one agent whether a call may be handed to the upstream. Every
- * refusal here is exact: what it refuses is never run later. Owned by the
- * agent's call service.
+ * Decides on an agent whether a call may be passed to the upstream. A refused
+ * attempt is guaranteed not to run later. Owned by the agent's call service.
  */
 class CallGate
 {
@@ -66,16 +65,17 @@
     explicit CallGate(std::uint64_t incarnation);
 
     void setCapacity(std::uint32_t capacity) { mCapacity = capacity; }
-    /** Final: this incarnation takes no more work. */
+    /** Irreversible: this incarnation accepts no more calls. */
     void setLeaving() { mLeaving = true; }
     void setUpstreamAlive(bool alive) { mUpstreamAlive = alive; }
-    /** Versions that the engine reports loaded whole. */
+    /** Sets the versions that the engine reports as completely loaded. */
     void setVersions(std::vector<std::string> versions) { mVersions = std::move(versions); }
 
     GateDecision admit(const GateCall &call, WallMilliseconds wallNow, Instant now);
-    /** As arrive(), for a call that got GateWait before. */
+    /** Like admit(), for a call that received GateWait before. */
     GateDecision admitAfterWait(const GateCall &call, WallMilliseconds wallNow, Instant now);
-    /** A call that got GateRun ended so; @p body is kept for repeats of its key. */
+    /** Records the result of a call that received GateRun; @p body is stored for repeats of its
+     * key. */
     void complete(const GateCall &call, const Outcome &outcome, std::string_view body, Instant now);
     RevokeResult revoke(const AttemptKey &attempt, Instant now);
 
--- a/src/libloomjunction/core/claimbatcher.h
+++ b/src/libloomjunction/core/claimbatcher.h
@@ -19,15 +19,16 @@
 namespace Loom {
 
 /**
- * Gathers claims into one append at a time, so that appends grow with time
- * and not with calls. Pure: the shell sends what take() hands out.
+ * Collects claims into batches, so that the number of log appends depends on
+ * the elapsed time and not on the number of calls. Performs no I/O: the owner
+ * appends the batches returned by takeBatch().
  */
 class ClaimBatcher
 {
 public:
     void add(wire::KeyClaim claim) { mPending.push_back(std::move(claim)); }
     bool isEmpty() const { return mPending.empty(); }
-    /** Up to sMaxClaimsPerBatch waiting claims as one record. */
+    /** Removes up to sMaxClaimsPerBatch pending claims and returns them as one record. */
     wire::ClaimBatch takeBatch(std::string_view writer, WallMilliseconds wallNow);
 
     static constexpr std::size_t sMaxClaimsPerBatch = 512;
--- a/src/libloomjunction/core/claimtable.cpp
+++ b/src/libloomjunction/core/claimtable.cpp
@@ -24,8 +24,8 @@
     removeExpired(now);
     const bool missed = logStartOffset > mNextOffset;
     if (!mHasRead || missed) {
-        // Claims before the oldest kept record are lost to us. Nothing was
-        // ever trimmed while the log still begins at its first offset.
+        // Claims before the oldest retained record cannot be read any more. No
+        // record has been trimmed if the log still begins at its first offset.
         const bool fromStart = logStartOffset == 0;
         const WallMilliseconds oldestAge(records.empty() ? 0 : records.front().age_ms());
         mCompleteSince = fromStart ? WallMilliseconds(0) : wallNow - oldestAge;
--- a/src/libloomjunction/core/claimtable.h
+++ b/src/libloomjunction/core/claimtable.h
@@ -23,7 +23,7 @@
 
 namespace Loom {
 
-/** The home that the log settled for a caller's own key. */
+/** The agent incarnation that may run a caller's own key, as determined by the log. */
 struct ClaimedHome
 {
     std::string service;
@@ -32,16 +32,17 @@
 };
 
 /**
- * Fold of the claim stream: the first claim of a key, at the lowest offset,
- * names its home for good. Every entry folds the same stream and so sends a
- * key to the same home. Owned by the claims service of an entry.
+ * State derived from the claim stream. The claim with the lowest offset
+ * determines the home of a key permanently. All entries apply the same stream
+ * and therefore route a key to the same home. Owned by an entry's claims
+ * service.
  */
 class ClaimTable
 {
 public:
     /**
-     * Folds records read from the log, whose oldest kept offset is
-     * @p logStartOffset; @p wallNow is the reader's clock.
+     * Applies records read from the log. @p logStartOffset is the oldest offset
+     * that the log retains, @p wallNow the wall clock time of the reader.
      */
     void feed(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset,
               WallMilliseconds wallNow, Instant now);
@@ -50,8 +51,8 @@
     std::optional<ClaimedHome> home(std::string_view key) const;
 
     /**
-     * Whether this table surely holds every claim of a key born at @p born,
-     * once it has read up to the key's own claim.
+     * Whether this table has read every claim of a key created at @p born, once
+     * it has applied the records up to the caller's claim of that key.
      */
     bool coversKeysSince(WallMilliseconds born) const;
 
@@ -68,7 +69,7 @@
 
     std::uint64_t mNextOffset = 0;
     bool mHasRead = false;
-    WallMilliseconds mCompleteSince{0}; ///< wall time from which no claim was missed
+    WallMilliseconds mCompleteSince{0}; ///< wall clock time since which no claim has been missed
     std::unordered_map<std::string, ClaimedHome> mHomes;
     std::deque<KeyExpiry> mByAge;
 };
--- a/src/libloomjunction/core/configreplica.cpp
+++ b/src/libloomjunction/core/configreplica.cpp
@@ -45,14 +45,15 @@
 ApplyResult ConfigReplica::applyAcrossGap(std::span<const wire::StoredRecord> records,
                                           std::uint64_t logStartOffset, Instant now)
 {
-    // A peer may have closed the gap meanwhile.
+    // An update from a peer may have closed the gap in the meantime.
     std::erase_if(mPendingRecords,
                   [&](const auto &pending) { return pending.offset() < nextOffset(); });
     for (const wire::StoredRecord &record : records) {
         const bool follows
             = mPendingRecords.empty() || record.offset() == mPendingRecords.back().offset() + 1;
         if (!follows) {
-            // The log was trimmed past what is held: what was held no longer connects.
+            // The log was trimmed beyond the buffered records, which are no longer contiguous with
+            // it.
             mPendingRecords.clear();
             mAssembler.clear();
         }
@@ -91,7 +92,7 @@
     }
     wire::ConfigRecord parsed;
     if (!parsed.ParseFromString(record.data())) {
-        mState.skip(record.offset()); // unreadable alike on every box
+        mState.skip(record.offset()); // every box fails to parse this record and skips it
         addToTail(record);
         return true;
     }
--- a/src/libloomjunction/core/configreplica.h
+++ b/src/libloomjunction/core/configreplica.h
@@ -24,17 +24,17 @@
 
 namespace Loom {
 
-/** What feeding records to a ConfigReplica came to. */
+/** Result of applying records to a ConfigReplica. */
 enum class ApplyResult : std::uint8_t
 {
-    Applied, ///< everything offered is folded
-    Gap, ///< records between the replica and the offered ones are missing
+    Applied, ///< all given records are applied
+    Gap, ///< records between the replica's state and the given ones are missing
 };
 
 /**
- * One box's copy of the configuration. It is fed from the log, from peers or
- * from a snapshot, in any mixture; it never skips a record and never goes to
- * a lower offset than it has had. Owned by the configuration service.
+ * The copy of the configuration on one box. Records come from the log, from
+ * peers or from a snapshot, in any combination. The replica never skips a
+ * record and its offset never decreases. Owned by the configuration service.
  */
 class ConfigReplica
 {
@@ -42,35 +42,35 @@
     const ConfigState &state() const { return mState; }
     bool isReady() const { return !mState.isEmpty(); }
 
-    /** Offset to read from the log next. */
+    /** Offset of the next record to apply. */
     std::uint64_t nextOffset() const;
 
     /**
-     * Feeds records read from the log, whose oldest kept offset is
-     * @p logStartOffset. When the log no longer reaches back to this replica the
-     * records are held until a complete snapshot among them closes the gap.
+     * Applies records read from the log. @p logStartOffset is the oldest offset
+     * that the log retains. If it lies beyond nextOffset(), the records are
+     * buffered until a complete snapshot among them closes the gap.
      */
     ApplyResult applyLog(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset,
                          Instant now);
 
-    /** Feeds what a peer pushed. */
+    /** Applies an update sent by a peer. */
     ApplyResult applyPeerUpdate(const wire::ConfigUpdate &update, Instant now);
 
-    /** What a peer standing at @p offset lacks; nothing where it lacks nothing. */
+    /** Returns what a peer at @p offset is missing, or nothing if it is up to date. */
     std::optional<wire::ConfigUpdate> updateFor(std::uint64_t offset, bool hasConfig) const;
 
-    /** Offset the next log read must start from while a gap is open. */
+    /** Offset at which the next log read starts; beyond nextOffset() while records are buffered. */
     std::uint64_t nextReadOffset() const;
 
-    /** Calls @p listener after each change of state. */
+    /** Sets the function that is called after each change of state. */
     void setListener(std::function<void()> listener) { mListener = std::move(listener); }
 
-    /** Changes folded since the newest complete snapshot seen. */
+    /** Number of changes applied since the newest complete snapshot. */
     std::uint64_t changesSinceSnapshot() const { return mChangesSinceSnapshot; }
-    /** When the newest complete snapshot was written; nothing before the first. */
+    /** When the newest complete snapshot was written, or nothing if none has been read. */
     std::optional<Instant> snapshotTime() const { return mSnapshotTime; }
 
-    /** Records kept for peers that are a little behind. */
+    /** Limit of records retained for peers that are slightly behind. */
     static constexpr std::size_t sMaxTailRecords = 512;
 
 private:
@@ -87,7 +87,8 @@
     ConfigState mState;
     std::deque<wire::StoredRecord> mTail;
     SnapshotAssembler mAssembler;
-    std::vector<wire::StoredRecord> mPendingRecords; // read beyond a gap, waiting for a snapshot
+    std::vector<wire::StoredRecord>
+        mPendingRecords; // read after a gap, buffered until a snapshot closes it
     std::function<void()> mListener;
     std::uint64_t mChangesSinceSnapshot = 0;
     std::optional<Instant> mSnapshotTime;
--- a/src/libloomjunction/core/configstate.cpp
+++ b/src/libloomjunction/core/configstate.cpp
@@ -23,7 +23,7 @@
 constexpr std::string_view sPrefetchVersionKey = "model.spread";
 constexpr std::string_view sServicePrefix = "/service/";
 constexpr std::string_view sAccountPrefix = "/account/";
-// Versions that may stand in while a promoted one is not there yet.
+// Previous versions that may serve while the promoted one is not loaded yet.
 constexpr std::size_t sMaxPreviousVersions = 4;
 constexpr std::uint32_t sMinChunkBytes = 1024;
 constexpr std::uint32_t sMaxChunkBytes = 4 * 1024 * 1024;
@@ -73,7 +73,7 @@
     return !error && value.is_int64() ? value.as_int64() : 0;
 }
 
-/** Puts @p before first among the versions that @p entry has served; @p now serves. */
+/** Makes @p before the newest previous version of @p entry, which now serves @p now. */
 void recordPreviousVersion(wire::ServiceEntry &entry, const std::string &before,
                            const std::string &now)
 {
@@ -116,10 +116,10 @@
     if (change.operations().empty()) {
         return "operations: expected at least one, found none";
     }
-    // Each operation is judged against the state left by the ones before it, so
-    // a change may create a service and set its values; all or nothing. What it
-    // touches is kept for going back: copying the whole state instead took 1.1
-    // ms a change at 1,000 services.
+    // Each operation is validated against the state left by the previous ones,
+    // so that one change can create a service and set its values. A change is
+    // atomic: the entries that it modifies are saved for a rollback. Copying the
+    // whole state instead took 1.1 ms per change with 1,000 services.
     Undo undo;
     for (const wire::ConfigOperation &operation : change.operations()) {
         std::string reason = operationError(operation, change.base());
@@ -137,7 +137,7 @@
 {
     const auto keep = [](auto &kept, const auto &map, const auto &key) {
         const auto it = map.find(key);
-        // The first time counts: later operations of the change see its own work.
+        // Only the first value is saved: later ones were written by this change itself.
         kept.try_emplace(key, it == map.end() ? std::nullopt : std::optional(it->second));
     };
     switch (operation.operation_case()) {
@@ -300,7 +300,7 @@
         return "chunkBytes: expected " + std::to_string(sMinChunkBytes) + " to "
             + std::to_string(sMaxChunkBytes) + ", found " + std::to_string(publish.chunk_bytes());
     }
-    // A version's name never means two sets of weights, or answers could not be checked.
+    // A version name identifies one set of weights. Otherwise answers could not be verified.
     if (version(publish.service(), publish.version()) != nullptr) {
         return "version '" + publish.version() + "' of '" + publish.service() + "' exists";
     }
@@ -311,7 +311,7 @@
                                  std::uint64_t base) const
 {
     const bool hasNoBase = base == sNoOffset;
-    // What the change being folded has itself written is no race.
+    // A value written by the change that is being applied is no conflict.
     const auto newer = [&](std::uint64_t offset) {
         return offset != mLastOffset && (hasNoBase || offset > base);
     };
--- a/src/libloomjunction/core/configstate.h
+++ b/src/libloomjunction/core/configstate.h
@@ -20,22 +20,22 @@
 
 namespace Loom {
 
-/** A value in the tree and the log offset that put it there. */
+/** A value in the settings tree and the log offset of the change that set it. */
 struct SettingValue
 {
     std::string json;
     std::uint64_t offset = 0;
 };
 
-/** Where an effective value comes from. */
+/** An effective value and the scope that defines it. */
 struct ExplainedValue
 {
     std::string json;
-    std::string scope; ///< empty: the key's default
+    std::string scope; ///< empty for the default of the key
     std::uint64_t offset = 0;
 };
 
-/** Whether a change was accepted, decided by the fold. */
+/** Whether a change was accepted when it was applied. */
 struct ChangeResult
 {
     bool accepted = false;
@@ -44,29 +44,30 @@
 };
 
 /**
- * The configuration as a fold over the log. The same records in the same
- * order give the same state on every box; nothing else can change it.
+ * The configuration, derived from the log alone. Applying the same records in
+ * the same order gives the same state on every box.
  */
 class ConfigState
 {
 public:
-    /** Folds @p change, which stands at @p offset; offsets only grow. */
+    /** Applies @p change, which is at @p offset in the log; offsets must increase. */
     ChangeResult apply(const wire::ConfigChange &change, std::uint64_t offset);
 
-    /** Notes that @p offset holds nothing to fold (snapshot or unreadable record). */
+    /** Skips the record at @p offset, which has no change (a snapshot or an unreadable record). */
     void skip(std::uint64_t offset) { mLastOffset = offset; }
 
-    /** Offset of the last record folded; -1 (all ones) before the first. */
+    /** Offset of the last applied record; sNoOffset before the first. */
     std::uint64_t lastOffset() const { return mLastOffset; }
     bool isEmpty() const { return mLastOffset == sNoOffset; }
 
     /**
-     * The value of @p key for @p service: the service's own, else its client
-     * account's, else its region's, else the root's, else the default.
+     * Returns the value of @p key for @p service. The first scope with a value
+     * decides: the service, its client account, its region, the root. Without
+     * any, it is the default.
      */
     ExplainedValue explain(std::string_view service, std::string_view key) const;
 
-    /** Share of client account @p account in contended services: its own, else root's. */
+    /** Weight of client account @p account in contended services: its own, or that of the root. */
     std::uint32_t accountWeight(std::string_view account) const;
 
     std::int64_t integer(std::string_view service, std::string_view key) const;
@@ -100,13 +101,13 @@
     static ConfigState fromSnapshot(const wire::ConfigSnapshot &snapshot);
 
     static constexpr std::uint64_t sNoOffset = ~std::uint64_t{0};
-    /** Change ids remembered, so that a repeated append folds to nothing. */
+    /** Limit of recorded change ids, which prevent a repeated append from being applied again. */
     static constexpr std::size_t sMaxFates = 2048;
 
 private:
     using EntryKey = std::pair<std::string, std::string>; ///< scope and key, or service and version
 
-    /** What a change has touched, as it was before; nothing: it was not there. */
+    /** Previous values of the entries that a change modifies; nothing for a missing entry. */
     struct Undo
     {
         std::map<EntryKey, std::optional<SettingValue>> settings;
--- a/src/libloomjunction/core/digest.h
+++ b/src/libloomjunction/core/digest.h
@@ -15,7 +15,7 @@
 
 namespace Loom {
 
-/** Lower-case hex SHA-256 of @p data. */
+/** Returns the SHA-256 digest of @p data in lower-case hexadecimal. */
 std::string sha256Hex(std::span<const std::byte> data);
 std::string sha256Hex(std::string_view data);
 
--- a/src/libloomjunction/core/idempotencykey.h
+++ b/src/libloomjunction/core/idempotencykey.h
@@ -21,21 +21,21 @@
 namespace Loom {
 
 /**
- * A key handed out with an address answer. It names the only agent
- * incarnation that will ever run the call, so every entry takes a repeat of
- * it to the same memory without asking anybody.
+ * An idempotency key issued with an address answer. It names its home, the
+ * only agent incarnation that may run the call. Every entry can therefore
+ * route a repeat to the agent that has recorded the key, without a lookup.
  */
 struct IssuedKey
 {
     std::string uuid; ///< UUIDv7
-    std::string homeBox; ///< agent that runs it
+    std::string homeBox; ///< box of the agent that runs the call
     std::uint64_t homeIncarnation = 0;
     WallMilliseconds expires{0};
 
     std::string text() const;
 };
 
-/** A caller's own UUIDv7; where it runs is settled by a claim in the log. */
+/** A UUIDv7 chosen by the caller; a claim in the log determines where it runs. */
 struct CallerKey
 {
     std::string uuid;
@@ -44,19 +44,19 @@
 
 using IdempotencyKey = std::variant<IssuedKey, CallerKey>;
 
-/** Reads a key as a caller sent it; the error names what was expected. */
+/** Parses a key sent by a caller; the error describes the expected format. */
 tl::expected<IdempotencyKey, std::string> parseIdempotencyKey(std::string_view text);
 
-/** A UUIDv7 of @p born with @p random bits. */
+/** Returns a UUIDv7 with the time @p createdAt and the given random bits. */
 std::string makeUuid7(WallMilliseconds createdAt, std::uint64_t randomHigh,
                       std::uint64_t randomLow);
 
-/** The time inside a UUIDv7; nothing when @p text is none. */
+/** Returns the time in a UUIDv7, or nothing if @p text is not a UUIDv7. */
 std::optional<WallMilliseconds> uuid7Time(std::string_view text);
 
-/** For how long after its birth a key may be used. */
+/** How long a key is valid after its creation. */
 constexpr Milliseconds sKeyLifetime{600'000};
-/** How far the clocks of two boxes may differ; stated to operators. */
+/** Maximum difference between the clocks of two boxes, documented for operators. */
 constexpr Milliseconds sMaxClockSkew{120'000};
 
 } // namespace Loom
--- a/src/libloomjunction/core/idempotencytable.cpp
+++ b/src/libloomjunction/core/idempotencytable.cpp
@@ -16,7 +16,7 @@
 
 constexpr Milliseconds sFullRetryAfter{5'000};
 
-// A key is remembered for longer than any box may still think it usable.
+// A key is retained for longer than any box may consider it valid, whatever its clock skew.
 constexpr Milliseconds sKeyRetention = sKeyLifetime + 2 * sMaxClockSkew;
 
 } // namespace
@@ -41,8 +41,8 @@
         }
         return KeyBusy{};
     }
-    // An expiry further away than the window was made by no entry of ours; it
-    // could outlive the memory of the key.
+    // No entry issues a key that expires later than this. Such a key could still
+    // be valid after its record has been removed from the table.
     if (wallNow >= expires || expires - wallNow > sKeyLifetime + sMaxClockSkew) {
         return KeyUnknown{UnknownReason::KeyExpired};
     }
--- a/src/libloomjunction/core/idempotencytable.h
+++ b/src/libloomjunction/core/idempotencytable.h
@@ -19,7 +19,7 @@
 
 namespace Loom {
 
-/** An answer kept for repeats of its key. */
+/** An answer stored for repeats of its key. */
 struct StoredAnswer
 {
     int status = 0;
@@ -28,33 +28,33 @@
 
 struct KeyRun
 {
-}; ///< run it now; finish() must follow
+}; ///< run the call, then report the result with one of the finish functions
 struct KeyBusy
 {
-}; ///< it runs; wait for finish()
+}; ///< the call is running; wait for its result
 struct KeyReplay
 {
     StoredAnswer answer;
-}; ///< it ran; here is its whole answer
+}; ///< the call has run; this is its complete answer
 struct KeyUnknown
 {
     UnknownReason reason;
-}; ///< it may have run and must not again
+}; ///< the call may have run and must not run again
 struct KeyRefused
 {
     NotRun refusal;
-}; ///< it was refused and never runs
+}; ///< the call was refused and never runs
 struct KeyTableFull
 {
     Milliseconds retryAfter;
-}; ///< no room to remember it: not run
+}; ///< the table is full, so the call is not run
 
 using KeyDecision = std::variant<KeyRun, KeyBusy, KeyReplay, KeyUnknown, KeyRefused, KeyTableFull>;
 
 /**
- * The memory of one agent incarnation for calls that may run at most once.
- * A key that it has begun is never begun again; a key it may have forgotten
- * is refused as unknown. Owned by the agent's call gate.
+ * Records the idempotency keys of calls that one agent incarnation may run at
+ * most once. A key never starts twice; a key whose entry may have expired is
+ * answered as unknown. Owned by the agent's call gate.
  */
 class IdempotencyTable
 {
@@ -64,25 +64,26 @@
     {
     }
 
-    /** Decides on @p key, which may run in @p homeIncarnation only, until @p expires. */
+    /** Decides whether @p key may run; it is valid in @p homeIncarnation only, until @p expires. */
     KeyDecision begin(std::string_view key, std::uint64_t homeIncarnation, WallMilliseconds expires,
                       WallMilliseconds wallNow, Instant now);
 
-    /** The upstream's whole answer is known. */
+    /** Stores the complete answer of the upstream. */
     void finishAnswered(std::string_view key, StoredAnswer answer, Instant now);
     /**
-     * It surely did not run, and from now on it never will: whoever was told
-     * so may take a new key without fear of a late copy of this one.
+     * Records that the call has not run. The key never runs from now on, so
+     * the caller can use a new key without the risk that a delayed duplicate
+     * of this one runs as well.
      */
     void finishNotRun(std::string_view key, NotRun refusal);
-    /** It may have run. */
+    /** Records that the call may have run. */
     void finishUnknown(std::string_view key, UnknownReason reason, Instant now);
 
     std::size_t size() const { return mKeys.size(); }
 
-    /** Keys remembered at most; beyond, calls are refused rather than forgotten. */
+    /** Limit of recorded keys; further calls are refused instead of evicting a key. */
     static constexpr std::size_t sMaxKeys = 100'000;
-    /** Larger answers are not kept: a repeat hears that it ran, as unknown. */
+    /** Larger answers are not stored; a repeat then gets an unknown outcome. */
     static constexpr std::size_t sMaxBodyBytes = std::size_t{64} * 1024;
     static constexpr std::size_t sMaxStoredBytes = std::size_t{32} * 1024 * 1024;
 
--- a/src/libloomjunction/core/logratelimiter.h
+++ b/src/libloomjunction/core/logratelimiter.h
@@ -18,14 +18,14 @@
 
 namespace Loom {
 
-/** Lines of one event that were left out. */
+/** Number of suppressed lines of one event. */
 struct SuppressedLines
 {
     std::string event;
     std::uint64_t count = 0;
 };
 
-/** Bounds the lines of each event per second, and counts what was left out. */
+/** Limits the log lines of each event per second and counts the suppressed ones. */
 class LogRateLimiter
 {
 public:
@@ -34,9 +34,10 @@
     {
     }
 
-    /** Whether a line of @p event may be written now. */
+    /** Returns whether a line of @p event may be written; counts the line either way. */
     bool allow(std::string_view event, Instant now);
-    /** What was left out in a second that is over; nothing where nothing was. */
+    /** Returns and resets the count of one event from a past second, or nothing if there is none.
+     */
     std::optional<SuppressedLines> takeSuppressed(Instant now);
 
 private:
--- a/src/libloomjunction/core/manifest.h
+++ b/src/libloomjunction/core/manifest.h
@@ -18,7 +18,7 @@
 
 namespace Loom {
 
-/** The chunks of one version's weights. Two versions never share a manifest digest. */
+/** Describes the chunks of the weights of one version. Manifest digests are unique per version. */
 struct Manifest
 {
     std::string service;
@@ -29,10 +29,10 @@
     std::string wholeDigest; ///< hex SHA-256 of all chunk digests in order
 
     std::uint32_t chunkCount() const { return static_cast<std::uint32_t>(chunkDigests.size()); }
-    /** Bytes of chunk @p index; the last one may be shorter. */
+    /** Size of chunk @p index in bytes; the last chunk may be shorter. */
     std::uint32_t chunkSize(std::uint32_t index) const;
 
-    /** The text whose SHA-256 is the manifest digest. */
+    /** Returns the JSON text whose SHA-256 is the manifest digest. */
     std::string text() const;
     static tl::expected<Manifest, std::string> parse(std::string_view text);
 
--- a/src/libloomjunction/core/orderlease.cpp
+++ b/src/libloomjunction/core/orderlease.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Milliseconds sClaimRetryDelay{1'000};
-// A claim is renewed once less than this part of it is left.
+// A lease is renewed when less than one third of its duration is left.
 constexpr int sRenewalDivisor = 3;
 constexpr std::size_t sMaxUnconfirmedClaims = 64;
 
@@ -31,7 +31,7 @@
 std::optional<wire::OrderLeaseClaim> OrderLease::claimIfDue(Instant now)
 {
     const bool fresh = mFencingNumber && mHeldUntil - now > mOptions.duration / sRenewalDivisor;
-    // Against another's running term a claim would only push that one out.
+    // A claim during the term of another holder would only end that term early.
     const bool otherLeaseActive
         = !mFencingNumber && !mOptions.engineChecksFence && now < mOtherLeasesEnd;
     if (fresh || otherLeaseActive || now < mNextClaimAt) {
@@ -94,8 +94,8 @@
     if (older) {
         return;
     }
-    // Another term began behind ours. Claims of ours still under way belong to
-    // the lost term and must not revive it.
+    // Another term has started after the own one. Own claims that are still in
+    // flight belong to the lost term and must not revive it.
     mFencingNumber.reset();
     mSent.clear();
     mHeldUntil = Instant();
--- a/src/libloomjunction/core/orderlease.h
+++ b/src/libloomjunction/core/orderlease.h
@@ -20,12 +20,13 @@
 namespace Loom {
 
 /**
- * The right of one agent incarnation to give orders to its engine. Claims
- * stand in the log; the offset of a term's first claim is its fencing number.
- * Engines that check refuse lower numbers. For engines that ignore them the
- * lease is timed: the holder counts from before it sent a claim, a successor
- * waits from when it first read that claim, so the spans of two holders never
- * overlap whatever the clocks of the boxes say. Owned by the order service.
+ * The exclusive right of one agent incarnation to send orders to its engine.
+ * Claims are records in the log, and the offset of the first claim of a term is
+ * its fencing number. Engines that check fencing numbers refuse lower ones. For
+ * other engines the lease is limited in time: the holder measures its duration
+ * from before it sent a claim, and a successor waits for that duration from
+ * when it first read the claim. The terms of two holders therefore never
+ * overlap, independent of the clocks of the boxes. Owned by the order service.
  */
 class OrderLease
 {
@@ -33,24 +34,25 @@
     struct Options
     {
         Milliseconds duration{20'000};
-        Milliseconds margin{2'000}; ///< the holder stops this much early
-        Milliseconds maxOrderDelay{3'000}; ///< longest an order may be under way
+        Milliseconds margin{2'000}; ///< the holder stops this long before its lease ends
+        Milliseconds maxOrderDelay{3'000}; ///< maximum time for an order to reach the engine
         bool engineChecksFence = false; ///< the engine refuses older fencing numbers
     };
 
     OrderLease(std::string box, std::uint64_t incarnation, Options options);
 
-    /** Asked while orders are wanted; the claim to append to the log now, if one is due. */
+    /** Returns the claim to append to the log if one is due; call it while orders are needed. */
     std::optional<wire::OrderLeaseClaim> claimIfDue(Instant now);
 
-    /** Folds records of the lease stream, in order. */
+    /** Applies records of the lease stream in order. */
     void feed(std::span<const wire::StoredRecord> records, Instant now);
     std::uint64_t nextOffset() const { return mNextOffset; }
 
     /**
-     * The fencing number to use for an order sent right now, or nothing. Must
-     * be asked after any wake and right before each order: a process frozen
-     * past its lease sees its lapse here before it does anything else.
+     * Returns the fencing number for an order sent at @p now, or nothing if the
+     * lease is not held. Call it right before each order and after each
+     * suspension point, so that a process that was suspended past the end of
+     * its lease detects this before it sends an order.
      */
     std::optional<std::uint64_t> fencingNumber(Instant now) const;
 
@@ -63,10 +65,10 @@
     Options mOptions;
     std::uint64_t mNextOffset = 0;
     std::uint64_t mLastSequence = 0;
-    std::map<std::uint64_t, Instant> mSent; ///< claims not yet read back, by sequence
-    std::optional<std::uint64_t> mFencingNumber; ///< of the term held now
-    Instant mHeldUntil; ///< by our own count, margin taken off
-    Instant mOtherLeasesEnd; ///< no order and no new term before this
+    std::map<std::uint64_t, Instant> mSent; ///< claims not yet read back from the log, by sequence
+    std::optional<std::uint64_t> mFencingNumber; ///< fencing number of the current term
+    Instant mHeldUntil; ///< end of the own lease, less the margin
+    Instant mOtherLeasesEnd; ///< no order is sent and no term starts before this
     Instant mNextClaimAt;
 };
 
--- a/src/libloomjunction/core/outcome.h
+++ b/src/libloomjunction/core/outcome.h
@@ -17,7 +17,7 @@
 
 namespace Loom {
 
-/** Why a request was refused before anything ran. */
+/** Why a request was refused without running. */
 enum class RefusalReason : std::uint8_t
 {
     BadRequest,
@@ -35,10 +35,10 @@
     Draining,
     NotReady,
     TooLarge,
-    EndsUpstreams, ///< upstreams broke off while they ran it, and nothing else was learned of it
+    EndsUpstreams, ///< upstreams failed while running the request, and no other outcome is known
 };
 
-/** Why it cannot be said whether a request ran. */
+/** Why it is unknown whether a request has run. */
 enum class UnknownReason : std::uint8_t
 {
     LinkCut,
@@ -48,43 +48,43 @@
     KeyExpired,
     VersionMismatch,
     StillRunning,
-    NotSettled, ///< nothing was handed over for this request; an earlier one with its key may have
-                ///< run
+    NotSettled, ///< this request was not passed to an upstream, but an earlier one with the same
+                ///< key may have run
 };
 
-/** The caller has the whole answer of its own request. */
+/** The caller has received the complete answer to its request. */
 struct Answered
 {
     int status = 0; ///< HTTP status of the upstream
 };
 
-/** Nothing ran, and no late copy of this request can run any more. */
+/** The request has not run, and no delayed duplicate of it can run later. */
 struct NotRun
 {
     RefusalReason reason = RefusalReason::Overloaded;
-    Milliseconds retryAfter{0}; ///< zero: coming back unchanged is of no use
+    Milliseconds retryAfter{0}; ///< zero if a retry of the unchanged request is futile
 };
 
-/** The request may have run. One that may not be repeated is never run again. */
+/** The request may have run. It is not run again unless it is marked as repeatable. */
 struct Unknown
 {
     UnknownReason reason = UnknownReason::LinkCut;
-    Milliseconds retryAfter{0}; ///< when to repeat the same key; zero: no use
+    Milliseconds retryAfter{0}; ///< when to retry with the same key; zero if that is futile
 };
 
-/** How a request ended; there is no fourth way. */
+/** The outcome of a request; these three cases are exhaustive. */
 using Outcome = std::variant<Answered, NotRun, Unknown>;
 
 std::string_view reasonName(RefusalReason reason);
 std::string_view reasonName(UnknownReason reason);
 
-/** "answered", "not-run" or "unknown", as callers see it in Loom-Outcome. */
+/** Returns "answered", "not-run" or "unknown", the value of the Loom-Outcome header. */
 std::string_view outcomeName(const Outcome &outcome);
 
-/** The HTTP status that tells a caller about @p outcome. */
+/** Returns the HTTP status for @p outcome. */
 int httpStatus(const Outcome &outcome);
 
-/** The reason with this name; Overloaded / LinkCut for a name not known here. */
+/** Returns the reason with this name; Overloaded or LinkCut for an unknown name. */
 RefusalReason refusalReason(std::string_view name);
 UnknownReason unknownReason(std::string_view name);
 
--- a/src/libloomjunction/core/settingschema.h
+++ b/src/libloomjunction/core/settingschema.h
@@ -16,7 +16,7 @@
 
 namespace Loom {
 
-/** What kind of JSON value a setting takes. */
+/** JSON type of a setting's value. */
 enum class SettingType : std::uint8_t
 {
     Boolean,
@@ -24,30 +24,30 @@
     Text
 };
 
-/** One key that may be set in the tree, with its bounds and default. */
+/** A key of the settings tree with its bounds and default value. */
 struct SettingSpec
 {
     std::string_view key;
     SettingType type;
     std::int64_t minimum;
     std::int64_t maximum;
-    std::string_view defaultJson; ///< JSON text of the value where none is set
-    std::string_view description; ///< with its unit
+    std::string_view defaultJson; ///< value as JSON text if none is set
+    std::string_view description; ///< includes the unit
 };
 
-/** Every key of the tree, in alphabetical order. */
+/** Returns all keys of the settings tree in alphabetical order. */
 std::span<const SettingSpec> settingSpecs();
 
-/** The spec of @p key, or null where there is no such key. */
+/** Returns the spec of @p key, or null if there is no such key. */
 const SettingSpec *findSetting(std::string_view key);
 
 /**
- * What is wrong with setting @p key to @p json (JSON text), naming the key,
- * what was expected and what was found; nothing where it is well.
+ * Validates the JSON text @p json as the value of @p key. Returns an error with
+ * the key, the expected and the found value, or nothing if the value is valid.
  */
 std::optional<std::string> settingError(std::string_view key, std::string_view json);
 
-/** What is wrong with @p scope as a place in the tree; nothing where it is well. */
+/** Returns an error if @p scope is not a valid scope of the settings tree. */
 std::optional<std::string> scopeError(std::string_view scope);
 
 } // namespace Loom
--- a/src/libloomjunction/core/snapshotassembler.cpp
+++ b/src/libloomjunction/core/snapshotassembler.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A record must stay well under what an append may carry.
+// A record must be well below the size limit of a log append.
 constexpr std::size_t sSnapshotChunkBytes = std::size_t{64} * 1024;
 
 } // namespace
--- a/src/libloomjunction/core/snapshotassembler.h
+++ b/src/libloomjunction/core/snapshotassembler.h
@@ -18,11 +18,12 @@
 
 namespace Loom {
 
-/** Gathers the chunks of snapshots until one is complete and its digest fits. */
+/** Assembles snapshots from chunks and verifies their digests. */
 class SnapshotAssembler
 {
 public:
-    /** The snapshot that @p chunk completes, if it does and its digest holds. */
+    /** Returns the snapshot completed by @p chunk, or nothing if chunks are missing or the digest
+     * differs. */
     std::optional<wire::ConfigSnapshot> add(const wire::SnapshotChunk &chunk);
     void clear() { mPartialSnapshots.clear(); }
 
@@ -31,10 +32,10 @@
     {
         std::map<std::uint32_t, std::string> data;
     };
-    std::map<std::string, PartialSnapshot> mPartialSnapshots; // by "lastOffset/digest"
+    std::map<std::string, PartialSnapshot> mPartialSnapshots; // by "OFFSET/DIGEST"
 };
 
-/** Cuts @p snapshot into records for the log. */
+/** Splits @p snapshot into records for the log. */
 std::vector<wire::ConfigRecord> snapshotRecords(const wire::ConfigSnapshot &snapshot);
 
 } // namespace Loom
--- a/src/libloomjunction/core/snapshotpolicy.cpp
+++ b/src/libloomjunction/core/snapshotpolicy.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A snapshot must be renewed while two more tries still fit into the retention.
+// A snapshot is renewed early enough for two more attempts within the retention time.
 constexpr int sSnapshotsPerRetention = 3;
 
 } // namespace
@@ -28,8 +28,8 @@
     const bool many = replica.changesSinceSnapshot() >= maxChanges;
     const Milliseconds oldest = retention / sSnapshotsPerRetention;
     const bool old = !replica.snapshotTime() || now - *replica.snapshotTime() >= oldest;
-    // Without any change since the log began there is nothing worth a snapshot,
-    // but one that exists must be renewed before it expires.
+    // A log without changes needs no snapshot, but an existing snapshot must be
+    // renewed before the log drops it.
     const bool worthwhile = replica.changesSinceSnapshot() > 0 || replica.snapshotTime();
     if (!worthwhile || (!many && !old)) {
         return std::nullopt;
--- a/src/libloomjunction/core/snapshotpolicy.h
+++ b/src/libloomjunction/core/snapshotpolicy.h
@@ -18,17 +18,18 @@
 
 class ConfigReplica;
 
-/** When an entry should append a snapshot. */
+/** Determines when an entry appends a snapshot to the log. */
 struct SnapshotPolicy
 {
-    std::uint64_t maxChanges = 200; ///< after this many changes
-    Milliseconds retention{3'600'000}; ///< how long the log keeps records
-    Milliseconds rankDelay{2'000}; ///< wait per place in the rendezvous order
+    std::uint64_t maxChanges = 200; ///< a snapshot is due after this many changes
+    Milliseconds retention{3'600'000}; ///< how long the log retains records
+    Milliseconds rankDelay{2'000}; ///< delay per rank in the rendezvous order
 
     /**
-     * How long to wait before writing, for the entry at place @p rank of the
-     * rendezvous order; nothing while no snapshot is due. A later place waits
-     * longer and finds it done, so that about one is written.
+     * Returns the delay before the entry with @p rank in the rendezvous order
+     * writes a snapshot, or nothing if none is due. Entries with a higher rank
+     * wait longer and usually find the snapshot written, so that about one
+     * entry writes it.
      */
     std::optional<Milliseconds> delay(const ConfigReplica &replica, std::size_t rank,
                                       Instant now) const;
--- a/tests/calls/test_claims.cpp
+++ b/tests/calls/test_claims.cpp
@@ -57,7 +57,7 @@
     FakeLog log;
     log.append(claim("old", "exam-1"), at(0));
     log.append(claim("x", "exam-1"), at(100'000));
-    log.trimTo(1); // the first claim of "old" is lost to a box that starts now
+    log.trimTo(1); // a new table cannot read the first claim of "old"
     ClaimTable table;
     feed(table, log, at(200'000));
     log.append(claim("old", "exam-2"), at(200'000));
@@ -76,7 +76,7 @@
     for (int i = 0; i < 5; ++i) {
         log.append(claim("b" + std::to_string(i), "exam-1"), at(1'000));
     }
-    log.trimTo(4); // frozen while the log was trimmed past it
+    log.trimTo(4); // the log was trimmed past the next offset of the table
     feed(table, log, at(2'000));
     BOOST_TEST(!table.coversKeysSince(sWall - Milliseconds(5'000)));
 }
--- a/tests/calls/test_gate.cpp
+++ b/tests/calls/test_gate.cpp
@@ -59,7 +59,7 @@
     CallGate gate = readyGate();
     BOOST_TEST((gate.revoke({"entry#1", 5}, at(1)) == RevokeResult::Revoked));
     BOOST_TEST((refusalOf(gate.admit(call(5), sWall, at(2))) == RefusalReason::Revoked));
-    // The other order: what has started cannot be called "not run".
+    // An attempt that has started cannot be reported as "not run".
     BOOST_TEST(holds<GateRun>(gate.admit(call(6), sWall, at(3))));
     BOOST_TEST((gate.revoke({"entry#1", 6}, at(4)) == RevokeResult::Started));
 }
@@ -149,7 +149,7 @@
     CallGate gate = readyGate();
     gate.admit(call(1, "k"), sWall, at(1));
     gate.complete(call(1, "k"), Answered{200}, "", at(2));
-    // Clocks of boxes differ by up to sMaxClockSkew in either direction.
+    // The clocks of two boxes differ by up to sMaxClockSkew in either direction.
     const Milliseconds last = sKeyLifetime + sMaxClockSkew;
     BOOST_TEST(holds<GateReplay>(gate.admit(call(2, "k"), sWall + last, at(1) + last)));
     BOOST_TEST(holds<GateUnknown>(gate.admit(call(3, "fresh"), sWall + last, at(1) + last)));
--- a/tests/common/fakelog.h
+++ b/tests/common/fakelog.h
@@ -17,7 +17,7 @@
 
 namespace Loom {
 
-/** A stream of the platform's log under virtual time: dense offsets, retention by hand. */
+/** A log stream in virtual time with contiguous offsets, trimmed only by trimTo(). */
 class FakeLog
 {
 public:
@@ -34,7 +34,7 @@
         return append(record.SerializeAsString(), now);
     }
 
-    /** Records from @p from on that are still kept. */
+    /** Returns the retained records from offset @p from on. */
     std::vector<wire::StoredRecord> read(std::uint64_t from, Instant now) const
     {
         std::vector<wire::StoredRecord> out;
@@ -63,7 +63,7 @@
     std::uint64_t mFirst = 0;
 };
 
-/** Virtual time @p milliseconds after the start of the test. */
+/** Returns the virtual time @p milliseconds after the start of the test. */
 inline Instant at(std::int64_t milliseconds)
 {
     return Instant(Milliseconds(milliseconds));
--- a/tests/config/test_fold.cpp
+++ b/tests/config/test_fold.cpp
@@ -36,7 +36,7 @@
     BOOST_TEST(state.integer("scorer", sKey) == 1000);
     state.apply(setChange("2", 2, "/region/texas", "calls.deadlineMs", "2000"), 3);
     BOOST_TEST(state.integer("scorer", sKey) == 2000);
-    // Where region and client account disagree, the client account decides.
+    // The client account takes precedence over the region.
     state.apply(setChange("3", 3, "/account/center", "calls.deadlineMs", "3000"), 4);
     BOOST_TEST(state.explain("scorer", sKey).scope == "/account/center");
     state.apply(setChange("4", 4, "/service/scorer", "calls.deadlineMs", "4000"), 5);
@@ -53,7 +53,7 @@
     BOOST_TEST(!lost.accepted);
     BOOST_TEST(lost.reason.starts_with("race"));
     BOOST_TEST(state.integer("scorer", sKey) == 100);
-    // Having seen the first, the second operator may decide again.
+    // A change based on the accepted one is accepted.
     BOOST_TEST(state.apply(setChange("third", 3, "/service/scorer", "calls.deadlineMs", "200"), 4)
                    .accepted);
 }
--- a/tests/config/test_replica.cpp
+++ b/tests/config/test_replica.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** A log with an account and @p changes values, each overwriting the last. */
+/** Returns a log with an account and @p changes values for the same key. */
 FakeLog makeLog(int changes)
 {
     FakeLog log;
@@ -60,7 +60,7 @@
 BOOST_AUTO_TEST_CASE(records_after_a_gap_are_not_applied)
 {
     FakeLog log = makeLog(5);
-    log.trimTo(3); // no snapshot anywhere
+    log.trimTo(3); // the log has no snapshot
     ConfigReplica replica;
     BOOST_TEST((applyNewRecords(replica, log, at(10)) == ApplyResult::Gap));
     BOOST_TEST(!replica.isReady());
@@ -93,7 +93,7 @@
                              std::to_string(50 + i)),
                    at(6));
     }
-    log.trimTo(log.next()); // everything that the snapshot lacks is gone
+    log.trimTo(log.next()); // removes the changes made after the snapshot
     for (const wire::ConfigRecord &record : old) {
         log.append(record.SerializeAsString(), at(7));
     }
@@ -208,7 +208,7 @@
     writeSnapshot(log, replica, at(10));
     applyNewRecords(replica, log, at(10));
     BOOST_TEST(!policy.delay(replica, 0, at(20)).has_value());
-    // Even with no further change the snapshot must be renewed while it lives.
+    // Without further changes the snapshot is still renewed before the retention ends.
     BOOST_TEST(policy.delay(replica, 0, at(10'011)).has_value());
     BOOST_TEST(policy.delay(replica, 3, at(10'011))->count() == 6'000);
     for (int i = 0; i < 12; ++i) {
--- a/tests/leases/test_orderlease.cpp
+++ b/tests/leases/test_orderlease.cpp
@@ -25,7 +25,7 @@
     return made;
 }
 
-/** Claims and reads back until orders are permitted or @p until passes. */
+/** Appends claims and reads the log until the lease is held or @p until is reached. */
 std::optional<Instant> acquire(OrderLease &lease, FakeLog &log, Instant from, Instant until)
 {
     for (Instant now = from; now < until; now += Milliseconds(50)) {
@@ -59,7 +59,7 @@
     BOOST_REQUIRE(acquire(holder, log, at(0), at(1'000)));
     const auto taken = acquire(successor, log, at(2'000), at(60'000));
     BOOST_REQUIRE(taken.has_value());
-    // The holder never read the successor's claim: it was frozen meanwhile.
+    // The holder was suspended and has not read the successor's claim.
     const OrderLease::Options defaults;
     BOOST_TEST(!holder.fencingNumber(*taken - defaults.maxOrderDelay).has_value());
     BOOST_TEST(!holder.fencingNumber(*taken).has_value());
@@ -73,7 +73,7 @@
     log.append(first.claimIfDue(at(0))->SerializeAsString(), at(10));
     log.append(second.claimIfDue(at(5))->SerializeAsString(), at(20));
     second.feed(log.read(0, at(30)), at(30));
-    // The first is frozen and has read only its own claim.
+    // The first agent is suspended after reading only its own claim.
     const auto own = log.read(0, at(30));
     first.feed({own.data(), 1}, at(30));
     BOOST_TEST(first.fencingNumber(at(40)).has_value());
@@ -103,14 +103,14 @@
 
 BOOST_AUTO_TEST_CASE(a_lost_renewal_does_not_extend_the_lease)
 {
-    // Sent twice; only the first copy reached the log. Counting from the
-    // second would let the holder go on after a successor has begun.
+    // The holder sends two claims, and only the first reaches the log. Measuring
+    // the lease from the second would extend it into the term of a successor.
     FakeLog log;
     OrderLease holder("box", 1, options(false));
     const auto first = holder.claimIfDue(at(0));
     BOOST_REQUIRE(first.has_value());
     log.append(first->SerializeAsString(), at(10));
-    BOOST_REQUIRE(holder.claimIfDue(at(5'000)).has_value()); // answer lost; this one vanishes
+    BOOST_REQUIRE(holder.claimIfDue(at(5'000)).has_value()); // never reaches the log
     holder.feed(log.read(0, at(5'100)), at(5'100));
     BOOST_TEST(holder.fencingNumber(at(17'900)).has_value());
     BOOST_TEST(!holder.fencingNumber(at(18'000)).has_value());
@@ -122,7 +122,7 @@
     OrderLease suspended("box", 1, options(false));
     OrderLease successor("box", 2, options(false));
     BOOST_REQUIRE(acquire(suspended, log, at(0), at(1'000)));
-    const auto renewal = suspended.claimIfDue(at(15'000)); // under way while the box freezes
+    const auto renewal = suspended.claimIfDue(at(15'000)); // in flight while the box is suspended
     BOOST_REQUIRE(renewal.has_value());
     const auto taken = acquire(successor, log, at(15'100), at(100'000));
     BOOST_REQUIRE(taken.has_value());
@@ -136,7 +136,7 @@
 
 BOOST_AUTO_TEST_CASE(random_schedules_never_allow_two_holders_at_once)
 {
-    // Three lives of one box freeze, thaw, lose appends and read late.
+    // Three incarnations on one box are suspended, resume, lose appends and read late.
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         std::mt19937_64 random(seed);
         FakeLog log;
