--- a/src/libloomjunction/core/attemptledger.h
+++ b/src/libloomjunction/core/attemptledger.h
@@ -19,8 +19,7 @@
 
 namespace Loom {
 
-/** Identifies one attempt of a request: the entry with its incarnation, and a monotonic sequence.
- */
+/** Identifies an attempt of a request: the entry with its incarnation, and a rising sequence. */
 struct AttemptKey
 {
     std::string entry;
--- a/src/libloomjunction/core/callgate.h
+++ b/src/libloomjunction/core/callgate.h
@@ -74,8 +74,7 @@
     GateDecision admit(const GateCall &call, WallMilliseconds wallNow, Instant now);
     /** Like admit(), for a call that received GateWait before. */
     GateDecision admitAfterWait(const GateCall &call, WallMilliseconds wallNow, Instant now);
-    /** Records the result of a call that received GateRun; @p body is stored for repeats of its
-     * key. */
+    /** Records the result of a call after GateRun; @p body is stored for repeats of its key. */
     void complete(const GateCall &call, const Outcome &outcome, std::string_view body, Instant now);
     RevokeResult revoke(const AttemptKey &attempt, Instant now);
 
--- a/src/libloomjunction/core/claimtable.h
+++ b/src/libloomjunction/core/claimtable.h
@@ -52,7 +52,7 @@
 
     /**
      * Whether this table has read every claim of a key created at @p born, once
-     * it has applied the records up to the caller's claim of that key.
+     * it has applied the records up to this entry's own claim of that key.
      */
     bool coversKeysSince(WallMilliseconds born) const;
 
--- a/src/libloomjunction/core/configreplica.cpp
+++ b/src/libloomjunction/core/configreplica.cpp
@@ -52,8 +52,7 @@
         const bool follows
             = mPendingRecords.empty() || record.offset() == mPendingRecords.back().offset() + 1;
         if (!follows) {
-            // The log was trimmed beyond the buffered records, which are no longer contiguous with
-            // it.
+            // The log was trimmed beyond the buffered records, so they no longer connect.
             mPendingRecords.clear();
             mAssembler.clear();
         }
--- a/src/libloomjunction/core/configreplica.h
+++ b/src/libloomjunction/core/configreplica.h
@@ -87,8 +87,7 @@
     ConfigState mState;
     std::deque<wire::StoredRecord> mTail;
     SnapshotAssembler mAssembler;
-    std::vector<wire::StoredRecord>
-        mPendingRecords; // read after a gap, buffered until a snapshot closes it
+    std::vector<wire::StoredRecord> mPendingRecords; ///< read after a gap that is still open
     std::function<void()> mListener;
     std::uint64_t mChangesSinceSnapshot = 0;
     std::optional<Instant> mSnapshotTime;
--- a/src/libloomjunction/core/configstate.cpp
+++ b/src/libloomjunction/core/configstate.cpp
@@ -79,8 +79,9 @@
 {
     std::vector<std::string> served{before};
     for (const std::string &older : entry.served_before()) {
-        const bool kept = older != before && older != now && served.size() < sMaxPreviousVersions;
-        if (kept) {
+        const bool retained
+            = older != before && older != now && served.size() < sMaxPreviousVersions;
+        if (retained) {
             served.push_back(older);
         }
     }
@@ -135,37 +136,37 @@
 
 void ConfigState::saveForUndo(Undo &undo, const wire::ConfigOperation &operation) const
 {
-    const auto keep = [](auto &kept, const auto &map, const auto &key) {
+    const auto save = [](auto &saved, const auto &map, const auto &key) {
         const auto it = map.find(key);
         // Only the first value is saved: later ones were written by this change itself.
-        kept.try_emplace(key, it == map.end() ? std::nullopt : std::optional(it->second));
+        saved.try_emplace(key, it == map.end() ? std::nullopt : std::optional(it->second));
     };
     switch (operation.operation_case()) {
     case wire::ConfigOperation::kSetValue: {
         const wire::SetValue &set = operation.set_value();
         const EntryKey place{set.scope(), set.key()};
-        keep(undo.settings, mSettings, place);
-        keep(undo.removed, mRemoved, place);
+        save(undo.settings, mSettings, place);
+        save(undo.removed, mRemoved, place);
         if (set.scope().starts_with(sServicePrefix)) {
-            keep(undo.services, mServices, set.scope().substr(sServicePrefix.size()));
+            save(undo.services, mServices, set.scope().substr(sServicePrefix.size()));
         }
         return;
     }
     case wire::ConfigOperation::kUnsetValue: {
         const EntryKey place{operation.unset_value().scope(), operation.unset_value().key()};
-        keep(undo.settings, mSettings, place);
-        keep(undo.removed, mRemoved, place);
+        save(undo.settings, mSettings, place);
+        save(undo.removed, mRemoved, place);
         return;
     }
     case wire::ConfigOperation::kCreateService:
-        keep(undo.services, mServices, operation.create_service().name());
+        save(undo.services, mServices, operation.create_service().name());
         return;
     case wire::ConfigOperation::kCreateAccount:
-        keep(undo.accounts, mAccounts, operation.create_account().name());
+        save(undo.accounts, mAccounts, operation.create_account().name());
         return;
     case wire::ConfigOperation::kPublishVersion: {
         const wire::PublishVersion &publish = operation.publish_version();
-        keep(undo.versions, mVersions, EntryKey{publish.service(), publish.version()});
+        save(undo.versions, mVersions, EntryKey{publish.service(), publish.version()});
         return;
     }
     case wire::ConfigOperation::OPERATION_NOT_SET:
@@ -175,8 +176,8 @@
 
 void ConfigState::restore(const Undo &undo)
 {
-    const auto restoreEntries = [](auto &map, const auto &kept) {
-        for (const auto &[key, before] : kept) {
+    const auto restoreEntries = [](auto &map, const auto &saved) {
+        for (const auto &[key, before] : saved) {
             if (before) {
                 map[key] = *before;
             } else if (const auto it = map.find(key); it != map.end()) {
--- a/src/libloomjunction/core/logratelimiter.cpp
+++ b/src/libloomjunction/core/logratelimiter.cpp
@@ -21,26 +21,26 @@
     if (it == mEvents.end()) {
         it = mEvents.emplace(std::string(event), EventCounter{}).first;
     }
-    EventCounter &second = it->second;
-    if (second.number != secondIndex(now)) {
-        second.number = secondIndex(now);
-        second.written = 0;
+    EventCounter &counter = it->second;
+    if (counter.number != secondIndex(now)) {
+        counter.number = secondIndex(now);
+        counter.written = 0;
     }
-    if (second.written >= mLinesPerSecond) {
-        ++second.suppressed;
+    if (counter.written >= mLinesPerSecond) {
+        ++counter.suppressed;
         return false;
     }
-    ++second.written;
+    ++counter.written;
     return true;
 }
 
 std::optional<SuppressedLines> LogRateLimiter::takeSuppressed(Instant now)
 {
-    for (auto &[event, second] : mEvents) {
-        if (second.suppressed > 0 && second.number != secondIndex(now)) {
-            SuppressedLines left{event, second.suppressed};
-            second.suppressed = 0;
-            return left;
+    for (auto &[event, counter] : mEvents) {
+        if (counter.suppressed > 0 && counter.number != secondIndex(now)) {
+            SuppressedLines lines{event, counter.suppressed};
+            counter.suppressed = 0;
+            return lines;
         }
     }
     return std::nullopt;
--- a/src/libloomjunction/core/outcome.h
+++ b/src/libloomjunction/core/outcome.h
@@ -35,7 +35,8 @@
     Draining,
     NotReady,
     TooLarge,
-    EndsUpstreams, ///< upstreams failed while running the request, and no other outcome is known
+    EndsUpstreams, ///< earlier attempts of this request broke upstream connections, and none
+                   ///< completed
 };
 
 /** Why it is unknown whether a request has run. */
--- a/src/libloomjunction/core/snapshotassembler.h
+++ b/src/libloomjunction/core/snapshotassembler.h
@@ -22,8 +22,7 @@
 class SnapshotAssembler
 {
 public:
-    /** Returns the snapshot completed by @p chunk, or nothing if chunks are missing or the digest
-     * differs. */
+    /** Returns the snapshot that @p chunk completes, or nothing if it is incomplete or corrupt. */
     std::optional<wire::ConfigSnapshot> add(const wire::SnapshotChunk &chunk);
     void clear() { mPartialSnapshots.clear(); }
 
--- a/tests/settings/test_logratelimiter.cpp
+++ b/tests/settings/test_logratelimiter.cpp
@@ -23,10 +23,10 @@
     BOOST_TEST(written == 3);
     BOOST_TEST(limiter.allow("other", at(5'020)));
     BOOST_TEST(!limiter.takeSuppressed(at(5'500)).has_value());
-    const auto left = limiter.takeSuppressed(at(6'000));
-    BOOST_REQUIRE(left.has_value());
-    BOOST_TEST(left->event == "call");
-    BOOST_TEST(left->count == 7U);
+    const auto suppressed = limiter.takeSuppressed(at(6'000));
+    BOOST_REQUIRE(suppressed.has_value());
+    BOOST_TEST(suppressed->event == "call");
+    BOOST_TEST(suppressed->count == 7U);
     BOOST_TEST(!limiter.takeSuppressed(at(6'001)).has_value());
     BOOST_TEST(limiter.allow("call", at(6'002)));
 }
