--- a/src/libloomjunction/core/claimbatcher.h
+++ b/src/libloomjunction/core/claimbatcher.h
@@ -19,21 +19,22 @@
 namespace Loom {
 
 /**
- * Gathers claims into one append at a time, so that appends grow with time
- * and not with calls. Pure: the shell sends what take() hands out.
+ * Collects claims into batches, so that the number of log appends depends on
+ * the elapsed time and not on the number of calls. Performs no I/O: the owner
+ * appends the batches returned by takeBatch().
  */
 class ClaimBatcher
 {
 public:
-    void add(wire::KeyClaim claim) { mWaiting.push_back(std::move(claim)); }
-    bool isEmpty() const { return mWaiting.empty(); }
-    /** Up to sMostPerBatch waiting claims as one record. */
-    wire::ClaimBatch take(std::string_view writer, WallMilliseconds wallNow);
+    void add(wire::KeyClaim claim) { mPending.push_back(std::move(claim)); }
+    bool isEmpty() const { return mPending.empty(); }
+    /** Removes up to sMaxClaimsPerBatch pending claims and returns them as one record. */
+    wire::ClaimBatch takeBatch(std::string_view writer, WallMilliseconds wallNow);
 
-    static constexpr std::size_t sMostPerBatch = 512;
+    static constexpr std::size_t sMaxClaimsPerBatch = 512;
 
 private:
-    std::deque<wire::KeyClaim> mWaiting;
+    std::deque<wire::KeyClaim> mPending;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/claimtable.h
+++ b/src/libloomjunction/core/claimtable.h
@@ -8,8 +8,8 @@
 
 #pragma once
 
+#include "idempotencykey.h"
 #include "instant.h"
-#include "oncekey.h"
 #include "wire.pb.h"
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 
 namespace Loom {
 
-/** The home that the log settled for a caller's own key. */
+/** The agent incarnation that may run a caller's own key, as determined by the log. */
 struct ClaimedHome
 {
     std::string service;
@@ -32,45 +32,46 @@
 };
 
 /**
- * Fold of the claim stream: the first claim of a key, at the lowest offset,
- * names its home for good. Every entry folds the same stream and so sends a
- * key to the same home. Owned by the claims service of an entry.
+ * State derived from the claim stream. The claim with the lowest offset
+ * determines the home of a key permanently. All entries apply the same stream
+ * and therefore route a key to the same home. Owned by an entry's claims
+ * service.
  */
 class ClaimTable
 {
 public:
     /**
-     * Folds records read from the log, whose oldest kept offset is
-     * @p logFirst; @p wallNow is the reader's clock.
+     * Applies records read from the log. @p logStartOffset is the oldest offset
+     * that the log retains, @p wallNow the wall clock time of the reader.
      */
-    void feed(std::span<const wire::StoredRecord> records, std::uint64_t logFirst,
+    void feed(std::span<const wire::StoredRecord> records, std::uint64_t logStartOffset,
               WallMilliseconds wallNow, Instant now);
 
-    std::uint64_t nextOffset() const { return mNext; }
+    std::uint64_t nextOffset() const { return mNextOffset; }
     std::optional<ClaimedHome> home(std::string_view key) const;
 
     /**
-     * Whether this table surely holds every claim of a key born at @p born,
-     * once it has read up to the key's own claim.
+     * Whether this table has read every claim of a key created at @p born, once
+     * it has applied the records up to this entry's own claim of that key.
      */
-    bool covers(WallMilliseconds born) const;
+    bool coversKeysSince(WallMilliseconds born) const;
 
     std::size_t size() const { return mHomes.size(); }
 
 private:
-    struct Remembered
+    struct KeyExpiry
     {
         std::string key;
-        Instant until;
+        Instant expiresAt;
     };
 
-    void forgetOld(Instant now);
+    void removeExpired(Instant now);
 
-    std::uint64_t mNext = 0;
+    std::uint64_t mNextOffset = 0;
     bool mHasRead = false;
-    WallMilliseconds mCompleteSince{0}; ///< wall time from which no claim was missed
+    WallMilliseconds mCompleteSince{0}; ///< wall clock time since which no claim has been missed
     std::unordered_map<std::string, ClaimedHome> mHomes;
-    std::deque<Remembered> mOrder;
+    std::deque<KeyExpiry> mByAge;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/snapshotassembler.h
+++ b/src/libloomjunction/core/snapshotassembler.h
@@ -18,23 +18,23 @@
 
 namespace Loom {
 
-/** Gathers the chunks of snapshots until one is complete and its digest fits. */
+/** Assembles snapshots from chunks and verifies their digests. */
 class SnapshotAssembler
 {
 public:
-    /** The snapshot that @p chunk completes, if it does and its digest holds. */
+    /** Returns the snapshot that @p chunk completes, or nothing if it is incomplete or corrupt. */
     std::optional<wire::ConfigSnapshot> add(const wire::SnapshotChunk &chunk);
-    void clear() { mParts.clear(); }
+    void clear() { mPartialSnapshots.clear(); }
 
 private:
-    struct Parts
+    struct PartialSnapshot
     {
         std::map<std::uint32_t, std::string> data;
     };
-    std::map<std::string, Parts> mParts; // by "asOf/digest"
+    std::map<std::string, PartialSnapshot> mPartialSnapshots; // by "OFFSET/DIGEST"
 };
 
-/** Cuts @p snapshot into records for the log. */
+/** Splits @p snapshot into records for the log. */
 std::vector<wire::ConfigRecord> snapshotRecords(const wire::ConfigSnapshot &snapshot);
 
 } // namespace Loom
