--- a/src/libloomjunction/gateway/addressfront.cpp
+++ b/src/libloomjunction/gateway/addressserver.cpp
@@ -1,14 +1,14 @@
 /*
- * addressfront.cpp
+ * addressserver.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "addressfront.h"
+#include "addressserver.h"
 
-#include "gatewayfront.h"
+#include "gatewayserver.h"
 #include "jsonhttp.h"
 #include "memberservice.h"
 
@@ -19,68 +19,69 @@
 namespace {
 
 // Short enough that callers leave a lost gateway soon; each answer is one small call.
-constexpr Milliseconds sLifetime{2'000};
+constexpr Milliseconds sAddressLifetime{2'000};
 
 } // namespace
 
-AddressFront::AddressFront(CallPort &calls, const DirectSettings &settings)
+AddressServer::AddressServer(CallPort &calls, const DirectSettings &settings)
     : mCalls(calls)
     , mSettings(settings)
 {
 }
 
-tl::expected<void, std::string> AddressFront::start(Kernel &kernel)
+tl::expected<void, std::string> AddressServer::start(Kernel &kernel)
 {
-    mFront = &kernel.find<GatewayFront>(GatewayFront::sName);
+    mGateway = &kernel.find<GatewayServer>(GatewayServer::sName);
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     const auto handler = [this](HttpExchange &exchange) { return handle(exchange); };
-    mAddresses = std::make_unique<HttpServer>(kernel.executor(), handler);
-    mReadiness = std::make_unique<HttpServer>(kernel.executor(), handler);
+    mAddressServer = std::make_unique<HttpServer>(kernel.executor(), handler);
+    mReadinessServer = std::make_unique<HttpServer>(kernel.executor(), handler);
     const auto &gateway = std::get<GatewaySettings>(mSettings.role);
-    if (auto listening = mAddresses->listen(gateway.addresses); !listening) {
+    if (auto listening = mAddressServer->listen(gateway.addresses); !listening) {
         return listening;
     }
-    return mReadiness->listen(gateway.readiness);
+    return mReadinessServer->listen(gateway.readiness);
 }
 
-void AddressFront::stop()
+void AddressServer::stop()
 {
-    mAddresses->stopListening();
-    mReadiness->stopListening();
+    mAddressServer->stopListening();
+    mReadinessServer->stopListening();
 }
 
-awaitable<void> AddressFront::handle(HttpExchange &exchange)
+awaitable<void> AddressServer::handle(HttpExchange &exchange)
 {
     HttpResponse response = errorResponse(404, "no such path");
     if (mCalls.isReadyCheck(exchange.request())) {
-        response = HttpResponse::json(mFront->isReady() ? 200 : 503, "{}");
+        response = HttpResponse::json(mGateway->isReady() ? 200 : 503, "{}");
     } else if (const auto question = mCalls.addressQuestion(exchange.request())) {
         response = answer(*question);
     }
     co_await exchange.respond(std::move(response));
 }
 
-AddressPlace AddressFront::ownPlace() const
+AddressPlace AddressServer::ownAddress() const
 {
     AddressPlace place;
     place.callers = endpointText(std::get<GatewaySettings>(mSettings.role).callers);
     place.dataCentre = mSettings.dataCentre;
     place.region = mSettings.region;
-    place.standing = mFront->isReady() ? GatewayStanding::Heard : GatewayStanding::Out;
+    place.standing = mGateway->isReady() ? GatewayStanding::Heard : GatewayStanding::Out;
     return place;
 }
 
-HttpResponse AddressFront::answer(const AddressQuestion &question) const
+HttpResponse AddressServer::answer(const AddressQuestion &question) const
 {
     std::vector<AddressPlace> places = mMembers->addressPlaces();
-    places.push_back(ownPlace());
+    places.push_back(ownAddress());
     const AddressChoice choice(mMembers->key(), places, mSettings.losses);
     const std::vector<std::string> addresses
         = choice.choose({question.dataCentre, question.region});
     if (addresses.empty()) {
         return errorResponse(503, "no gateway is ready");
     }
-    return mCalls.addressAnswer(addresses, std::min(sLifetime, mSettings.bounds.addressLifetime));
+    return mCalls.addressAnswer(addresses,
+                                std::min(sAddressLifetime, mSettings.bounds.addressLifetime));
 }
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/addressfront.h
+++ b/src/libloomjunction/gateway/addressserver.h
@@ -1,5 +1,5 @@
 /*
- * addressfront.h
+ * addressserver.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -17,35 +17,35 @@
 
 namespace Loom {
 
-class GatewayFront;
+class GatewayServer;
 class MemberService;
 
 /** Tells callers which gateways to use, and the platform whether this one is ready. */
-class AddressFront final : public Service
+class AddressServer final : public Service
 {
 public:
     static constexpr std::string_view sName = "address-front";
 
-    AddressFront(CallPort &calls, const DirectSettings &settings);
+    AddressServer(CallPort &calls, const DirectSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override;
 
     /** Where callers ask, e.g. after asking for port 0. */
-    Tcp::endpoint localEndpoint() const { return mAddresses->localEndpoint(); }
+    Tcp::endpoint localEndpoint() const { return mAddressServer->localEndpoint(); }
 
 private:
     awaitable<void> handle(HttpExchange &exchange);
-    AddressPlace ownPlace() const;
+    AddressPlace ownAddress() const;
     HttpResponse answer(const AddressQuestion &question) const;
 
     CallPort &mCalls;
     const DirectSettings &mSettings;
-    GatewayFront *mFront = nullptr;
+    GatewayServer *mGateway = nullptr;
     MemberService *mMembers = nullptr;
-    std::unique_ptr<HttpServer> mAddresses;
-    std::unique_ptr<HttpServer> mReadiness;
+    std::unique_ptr<HttpServer> mAddressServer;
+    std::unique_ptr<HttpServer> mReadinessServer;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/callstate.h
+++ b/src/libloomjunction/gateway/callstate.h
@@ -51,7 +51,7 @@
     std::string account;
     Instant deadline; ///< the caller's time and the route's, whichever ends first
     bool isCallerGone = false;
-    bool isTimeOver = false;
+    bool isTimedOut = false;
     bool isHeadSent = false;
     std::optional<std::uint64_t> lastEvent; ///< the last one that the caller got
 
@@ -63,6 +63,6 @@
 };
 
 /** With less than this left, an answer would come too late to be sent for. */
-inline constexpr Milliseconds sLeastTime{20};
+inline constexpr Milliseconds sMinTimeLeft{20};
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -28,29 +28,29 @@
 namespace {
 
 // Before the first configuration, and while none may be fresh, callers come back soon.
-constexpr Milliseconds sNoConfigComeBack{300};
-constexpr Milliseconds sNoReplicaComeBack{400};
-constexpr Milliseconds sRefusedComeBack{200};
+constexpr Milliseconds sNoConfigRetryDelay{300};
+constexpr Milliseconds sNoReplicaRetryDelay{400};
+constexpr Milliseconds sRefusedRetryDelay{200};
 // A request without a time of its own, on a route without one.
-constexpr Milliseconds sStandardTime{10'000};
+constexpr Milliseconds sDefaultTimeout{10'000};
 // Connections that could not be made; nothing was sent, but time passes.
-constexpr std::uint32_t sMostFailedConnects = 3;
+constexpr std::uint32_t sMaxFailedConnects = 3;
 // After this many times its longest good pause a stream is taken for silent, but
 // not before this time: passes grow long when many prompts are read.
-constexpr int sSilentPauses = 4;
-constexpr Milliseconds sLeastStreamSilence{1'000};
+constexpr int sStreamSilencePauses = 4;
+constexpr Milliseconds sMinStreamSilence{1'000};
 // Before its first event a stream may wait in the replica's queue.
-constexpr int sSilentGoals = 4;
-constexpr Milliseconds sLeastFirstSilence{1'200};
+constexpr int sFirstSilenceGoals = 4;
+constexpr Milliseconds sMinFirstSilence{1'200};
 // Callers leave a stream that has not begun after two seconds at the earliest. One that
 // is answered before may try again; of one that left, a replica may not hear.
-constexpr Milliseconds sLeastOverdue{1'850};
+constexpr Milliseconds sMinFirstEventTimeout{1'850};
 // A timer that is later than this shows that the loop stood still: what came
 // meanwhile has not been read yet.
-constexpr Milliseconds sLoopStall{50};
-constexpr Milliseconds sStandbyStep{1'000};
+constexpr Milliseconds sMinLoopStall{50};
+constexpr Milliseconds sHedgeWaitInterval{1'000};
 // Permits of replicas that named a limit; each one denied costs a way there and back.
-constexpr std::uint32_t sMostDenied = 6;
+constexpr std::uint32_t sMaxDeniedPermits = 6;
 constexpr int sBadRequest = 400;
 constexpr int sUnavailable = 503;
 constexpr std::string_view sQuarantined = "replicas ended under this request";
@@ -66,21 +66,22 @@
     return HttpResponse::json(status, R"({"error":")" + std::string(reason) + R"("})");
 }
 
-bool hasFailed(const TryResult &result)
+bool hasFailed(const AttemptOutcome &result)
 {
-    return std::holds_alternative<TryNotRun>(result) || std::holds_alternative<TryUnknown>(result);
+    return std::holds_alternative<AttemptNotExecuted>(result)
+        || std::holds_alternative<AttemptUnknown>(result);
 }
 
 } // namespace
 
 GatewayCall::GatewayCall(CallParts parts, HttpExchange &exchange)
     : mCall{.parts = parts, .exchange = exchange, .table = parts.config.table()}
-    , mArrived(now())
+    , mArrivedAt(now())
     , mRandom(randomNumber())
     , mDeadlineTimer(exchange.executor())
     , mSilenceTimer(exchange.executor())
-    , mStandbyDone(exchange.executor())
-    , mTimes(mArrived)
+    , mHedgeEnded(exchange.executor())
+    , mTimes(mArrivedAt)
 {
 }
 
@@ -92,21 +93,21 @@
         co_await refuse(std::move(*refusal));
         co_return;
     }
-    startWatching();
+    watchCallerAndDeadline();
     if (mCall.isCallerGone) {
-        co_await giveUp(502, "the caller left before its request was read");
+        co_await failCall(502, "the caller left before its request was read");
     } else {
-        co_await tryReplicas();
+        co_await sendToReplicas();
     }
     mDeadlineTimer.cancel();
-    co_await endStandby();
+    co_await finishHedge();
 }
 
 std::optional<GatewayCall::Refusal> GatewayCall::prepare()
 {
     mCall.caller = mCall.parts.calls.callerFields(mCall.exchange.request());
     if (!mCall.table) {
-        return Refusal{503, "no configuration is known yet", sNoConfigComeBack};
+        return Refusal{503, "no configuration is known yet", sNoConfigRetryDelay};
     }
     if (mCall.caller.host.empty()) {
         return Refusal{sBadRequest, "host: expected one, found none or several", std::nullopt};
@@ -116,11 +117,11 @@
     if (mCall.route == nullptr) {
         if (mayBeStale) {
             return Refusal{503, "no such route in a configuration that may be old",
-                           sNoConfigComeBack};
+                           sNoConfigRetryDelay};
         }
         return Refusal{404, "no such route", std::nullopt};
     }
-    if (auto refusal = findAccount()) {
+    if (auto refusal = authenticate()) {
         return refusal;
     }
     if (mCall.caller.id.empty()) {
@@ -129,13 +130,13 @@
     }
     const RouteTarget *target = pickTarget(*mCall.route, mRandom);
     if (target == nullptr) {
-        return Refusal{503, "the route has no service", sNoReplicaComeBack};
+        return Refusal{503, "the route has no service", sNoReplicaRetryDelay};
     }
     mCall.serviceName = target->service;
     mCall.service = mCall.table->service(mCall.serviceName);
     const Milliseconds routeTime
-        = mCall.route->timeout.count() > 0 ? mCall.route->timeout : sStandardTime;
-    if (const auto left = quarantinedFor()) {
+        = mCall.route->timeout.count() > 0 ? mCall.route->timeout : sDefaultTimeout;
+    if (const auto left = quarantineTimeLeft()) {
         return Refusal{503, std::string(sQuarantined), left};
     }
     if (mCall.caller.deadline) {
@@ -143,11 +144,11 @@
         mTimes.setWaitedBefore(
             mCall.parts.replicas.waitedBefore(mCall.route->name, *mCall.caller.deadline));
     }
-    mCall.deadline = mArrived + std::min(routeTime, mCall.caller.deadline.value_or(routeTime));
+    mCall.deadline = mArrivedAt + std::min(routeTime, mCall.caller.deadline.value_or(routeTime));
     return std::nullopt;
 }
 
-std::optional<GatewayCall::Refusal> GatewayCall::findAccount()
+std::optional<GatewayCall::Refusal> GatewayCall::authenticate()
 {
     const bool needsKey = !mCall.table->config().accounts.empty() && !mCall.route->isOpen;
     if (!needsKey) {
@@ -160,12 +161,12 @@
         return std::nullopt;
     }
     if (!mCall.caller.key.empty() && mCall.parts.config.mayBeStale()) {
-        return Refusal{503, "no such key in a configuration that may be old", sNoConfigComeBack};
+        return Refusal{503, "no such key in a configuration that may be old", sNoConfigRetryDelay};
     }
     return Refusal{401, "no such key", std::nullopt};
 }
 
-void GatewayCall::startWatching()
+void GatewayCall::watchCallerAndDeadline()
 {
     // Handlers that are queued already may run after the call has ended.
     const std::weak_ptr<bool> alive = mAlive;
@@ -174,25 +175,25 @@
             return;
         }
         mCall.isCallerGone = true;
-        cancelTries();
+        cancelAttempts();
     });
     mDeadlineTimer.expires_at(bootTime(mCall.deadline));
     mDeadlineTimer.async_wait([this, alive](const boost::system::error_code &error) {
         if (error || alive.expired()) {
             return;
         }
-        mCall.isTimeOver = true;
-        cancelTries();
+        mCall.isTimedOut = true;
+        cancelAttempts();
     });
 }
 
-void GatewayCall::cancelTries()
+void GatewayCall::cancelAttempts()
 {
-    if (mTry) {
-        mTry->cancel();
+    if (mAttempt) {
+        mAttempt->cancel();
     }
-    if (mStandby) {
-        mStandby->cancel();
+    if (mHedge) {
+        mHedge->cancel();
     }
 }
 
@@ -204,10 +205,10 @@
     query.goal = mCall.route->goal;
     query.promptTokens = mCall.caller.promptTokens;
     query.entries = mCall.parts.members.gatewayCount();
-    query.excluded = mExcluded;
-    query.random = mRandom + mSends;
+    query.excluded = mExcludedReplicas;
+    query.random = mRandom + mSendCount;
     query.waited
-        = mTimes.waitedBefore() + std::chrono::duration_cast<Milliseconds>(now() - mArrived);
+        = mTimes.waitedBefore() + std::chrono::duration_cast<Milliseconds>(now() - mArrivedAt);
     query.timeLeft = mCall.caller.deadline ? mCall.timeLeft() : Milliseconds(0);
     query.isResumed = mCall.isHeadSent;
     if (mCall.service != nullptr && mCall.service->engine) {
@@ -227,76 +228,78 @@
 }
 
 // A caller that came back before a replica takes requests again would be refused again.
-Milliseconds GatewayCall::comeBackAfterRefusal() const
+Milliseconds GatewayCall::retryDelayAfterRefusal() const
 {
-    return mCall.parts.replicas.replicas().heldFor(query(), now()).value_or(sRefusedComeBack);
+    return mCall.parts.replicas.replicas().heldFor(query(), now()).value_or(sRefusedRetryDelay);
 }
 
-awaitable<void> GatewayCall::tryReplicas()
+awaitable<void> GatewayCall::sendToReplicas()
 {
     mCall.parts.replicas.noteRequest(mCall.serviceName, mCall.route->goal);
-    Refusal last{503, "no replica can take it", sNoReplicaComeBack};
-    std::optional<TryUnknown> unknown;
+    Refusal last{503, "no replica can take it", sNoReplicaRetryDelay};
+    std::optional<AttemptUnknown> unknown;
     while (true) {
         const ReplicaChoice choice = co_await choose();
-        if (mCall.isCallerGone || mCall.isTimeOver) {
-            co_await giveUp(mSends == 0 ? 503 : 504, "time was over before a replica was chosen");
+        if (mCall.isCallerGone || mCall.isTimedOut) {
+            co_await failCall(mSendCount == 0 ? 503 : 504,
+                              "time was over before a replica was chosen");
             co_return;
         }
         const auto *chosen = std::get_if<ChosenReplica>(&choice);
         if (chosen == nullptr) {
-            mNoMore = std::holds_alternative<AllBusy>(choice) ? "all busy" : "no replica";
+            mStopReason = std::holds_alternative<AllBusy>(choice) ? "all busy" : "no replica";
             const auto *busy = std::get_if<AllBusy>(&choice);
-            if (busy != nullptr && (mExcluded.empty() || busy->isHeld)) {
+            if (busy != nullptr && (mExcludedReplicas.empty() || busy->isHeld)) {
                 last = {503, "all replicas are busy", busy->comeBack};
             }
-            if (const auto *none = std::get_if<NoneUsable>(&choice); none && mExcluded.empty()) {
+            if (const auto *none = std::get_if<NoneUsable>(&choice);
+                none && mExcludedReplicas.empty()) {
                 last.comeBack = none->comeBack;
             }
             break;
         }
         // Others may have told of it since it came, or since the last try.
-        if (const auto left = quarantinedFor()) {
+        if (const auto left = quarantineTimeLeft()) {
             last = {503, std::string(sQuarantined), left};
-            mNoMore = "held back";
+            mStopReason = "held back";
             break;
         }
         // Every send passes a permit, first ones, repeats and resumed streams: a limit that a
         // replica named holds for all gateways together, which no gateway can count alone.
         if (!co_await mCall.parts.replicas.takePermit(chosen->id)) {
-            if (++mDenied == sMostDenied) {
-                mNoMore = "no permit";
+            if (++mDeniedPermitCount == sMaxDeniedPermits) {
+                mStopReason = "no permit";
                 break;
             }
             continue;
         }
-        TryResult result = co_await tryOnce(*chosen);
-        if (std::holds_alternative<TryDone>(result)) {
+        AttemptOutcome result = co_await runAttemptWithHedge(*chosen);
+        if (std::holds_alternative<AttemptCompleted>(result)) {
             noteGoodEnd();
             co_return;
         }
-        co_await noteFailed(*mTry, result);
-        if (auto *over = std::get_if<TryOver>(&result)) {
-            co_await giveUp(mSends == 0 ? 503 : 504, over->reason);
+        co_await noteFailedAttempt(*mAttempt, result);
+        if (auto *over = std::get_if<AttemptAborted>(&result)) {
+            co_await failCall(mSendCount == 0 ? 503 : 504, over->reason);
             co_return;
         }
-        if (auto *failed = std::get_if<TryUnknown>(&result)) {
-            const bool again = mayRepeat();
+        if (auto *failed = std::get_if<AttemptUnknown>(&result)) {
+            const bool mayRepeatAgain = mayRepeat();
             unknown = std::move(*failed);
-            if (!again) {
-                mNoMore = "may not be repeated";
+            if (!mayRepeatAgain) {
+                mStopReason = "may not be repeated";
                 break;
             }
         }
-        if (auto *notRun = std::get_if<TryNotRun>(&result)) {
-            last = {503, notRun->reason, comeBackAfterRefusal()};
+        if (auto *notRun = std::get_if<AttemptNotExecuted>(&result)) {
+            last = {503, notRun->reason, retryDelayAfterRefusal()};
         }
-        const bool wasSent = mSends > 0;
-        mNoMore = noFurtherTry();
-        if (mNoMore.empty() && wasSent && !mCall.parts.replicas.takeRepeat(mCall.serviceName)) {
-            mNoMore = "no repeat left";
+        const bool wasSent = mSendCount > 0;
+        mStopReason = stopReason();
+        if (mStopReason.empty() && wasSent && !mCall.parts.replicas.takeRepeat(mCall.serviceName)) {
+            mStopReason = "no repeat left";
         }
-        if (!mNoMore.empty()) {
+        if (!mStopReason.empty()) {
             break;
         }
     }
@@ -307,21 +310,21 @@
     if (unknown->answer && !mCall.isHeadSent) {
         const int status = unknown->answer->status;
         co_await mCall.exchange.respond(std::move(*unknown->answer));
-        logEnd(status, "answered", unknown->reason);
+        logOutcome(status, "answered", unknown->reason);
         co_return;
     }
-    co_await giveUp(502, unknown->reason);
+    co_await failCall(502, unknown->reason);
 }
 
-std::string_view GatewayCall::noFurtherTry() const
+std::string_view GatewayCall::stopReason() const
 {
-    if (mSends >= std::max<std::uint32_t>(mCall.route->attempts, 1)) {
+    if (mSendCount >= std::max<std::uint32_t>(mCall.route->attempts, 1)) {
         return "no attempt left";
     }
-    if (mFailedConnects >= sMostFailedConnects) {
+    if (mFailedConnectCount >= sMaxFailedConnects) {
         return "no replica was reached";
     }
-    return mCall.timeLeft() > sLeastTime ? "" : "no time left";
+    return mCall.timeLeft() > sMinTimeLeft ? "" : "no time left";
 }
 
 const RequestDigest &GatewayCall::digest()
@@ -333,7 +336,7 @@
     return mDigest;
 }
 
-std::optional<Milliseconds> GatewayCall::quarantinedFor()
+std::optional<Milliseconds> GatewayCall::quarantineTimeLeft()
 {
     if (mCall.parts.quarantine.isEmpty()) {
         return std::nullopt;
@@ -343,19 +346,20 @@
 
 void GatewayCall::noteSent()
 {
-    ++mSends;
+    ++mSendCount;
     if (!mCall.parts.quarantine.isEmpty()) {
         mCall.parts.quarantine.noteSent(digest());
     }
 }
 
-awaitable<void> GatewayCall::noteFailed(const ReplicaTry &attempt, const TryResult &result)
+awaitable<void> GatewayCall::noteFailedAttempt(const ReplicaAttempt &attempt,
+                                               const AttemptOutcome &result)
 {
-    mExcluded.push_back(attempt.chosen().id);
-    const auto *failed = std::get_if<TryUnknown>(&result);
-    if (failed != nullptr && failed->isCut) {
+    mExcludedReplicas.push_back(attempt.chosen().id);
+    const auto *failed = std::get_if<AttemptUnknown>(&result);
+    if (failed != nullptr && failed->isClosedByReplica) {
         const RequestDigest own = digest();
-        co_await mCall.parts.quarantine.noteCut(own, mCall.account, attempt.life());
+        co_await mCall.parts.quarantine.noteCut(own, mCall.account, attempt.incarnation());
     }
 }
 
@@ -368,7 +372,7 @@
 
 bool GatewayCall::mayRepeat() const
 {
-    if (!mCall.route->mayRepeat() || mCall.isCallerGone || mCall.isTimeOver) {
+    if (!mCall.route->mayRepeat() || mCall.isCallerGone || mCall.isTimedOut) {
         return false;
     }
     // Two replicas ended under it: a third within the same call would be the next, and
@@ -380,292 +384,292 @@
     return !mCall.isHeadSent || (mCall.route->isResumable && mCall.route->isStream);
 }
 
-void GatewayCall::adopt(std::unique_ptr<ReplicaTry> attempt)
+void GatewayCall::setAttempt(std::unique_ptr<ReplicaAttempt> attempt)
 {
-    mTry = std::move(attempt);
-    mTried = mTry->chosen();
-    mWasPatient = mWasPatient || mTried.isPatient;
+    mAttempt = std::move(attempt);
+    mLastChosen = mAttempt->chosen();
+    mWasPatient = mWasPatient || mLastChosen.isPatient;
 }
 
-awaitable<TryResult> GatewayCall::tryOnce(ChosenReplica chosen)
+awaitable<AttemptOutcome> GatewayCall::runAttemptWithHedge(ChosenReplica chosen)
 {
-    adopt(std::make_unique<ReplicaTry>(mCall, std::move(chosen)));
-    TryResult result = co_await runTry();
+    setAttempt(std::make_unique<ReplicaAttempt>(mCall, std::move(chosen)));
+    AttemptOutcome result = co_await runAttempt();
     while (true) {
-        stopAwaitingSilence();
-        mTry->end(result);
+        stopSilenceTimer();
+        mAttempt->end(result);
         if (!hasFailed(result)) {
             co_return result;
         }
-        const bool isFollowed = co_await standbyFollows();
-        if (!isFollowed) {
+        const bool hasHedge = co_await waitForHedge();
+        if (!hasHedge) {
             co_return result;
         }
-        co_await noteFailed(*mTry, result);
-        adopt(std::move(mStandby));
-        mHasStandbyBegun = false;
-        LinkHead head = std::move(mStandbyHead);
-        result = co_await passStream(std::move(head));
+        co_await noteFailedAttempt(*mAttempt, result);
+        setAttempt(std::move(mHedge));
+        mHasHedgeTakenOver = false;
+        LinkHead head = std::move(mHedgeHead);
+        result = co_await forwardStream(std::move(head));
     }
 }
 
-awaitable<TryResult> GatewayCall::runTry()
+awaitable<AttemptOutcome> GatewayCall::runAttempt()
 {
-    auto failed = co_await mTry->connect();
+    auto failed = co_await mAttempt->connect();
     if (failed) {
-        mFailedConnects += mTry->wasReached() ? 0 : 1;
+        mFailedConnectCount += mAttempt->wasConnected() ? 0 : 1;
         co_return std::move(*failed);
     }
     noteSent();
     if (mCall.route->isStream) {
-        const auto first = std::max(sLeastFirstSilence, mCall.route->goal * sSilentGoals);
-        mOverdueAt = now() + std::max(first, sLeastOverdue);
-        awaitSilence(first);
+        const auto first = std::max(sMinFirstSilence, mCall.route->goal * sFirstSilenceGoals);
+        mFirstEventDueAt = now() + std::max(first, sMinFirstEventTimeout);
+        startSilenceTimer(first);
     }
-    auto head = co_await mTry->begin();
+    auto head = co_await mAttempt->sendRequest();
     if (!head) {
         co_return std::move(head.error());
     }
-    if (mTry->isStream()) {
-        co_return co_await passStream(std::move(*head));
+    if (mAttempt->isStream()) {
+        co_return co_await forwardStream(std::move(*head));
     }
-    co_return co_await passWhole(std::move(*head));
+    co_return co_await forwardResponse(std::move(*head));
 }
 
-awaitable<TryResult> GatewayCall::passWhole(LinkHead head)
+awaitable<AttemptOutcome> GatewayCall::forwardResponse(LinkHead head)
 {
-    auto body = co_await mTry->readWhole();
+    auto body = co_await mAttempt->readWhole();
     if (!body) {
         co_return std::move(body.error());
     }
     if (mCall.isHeadSent) {
         // A resumed stream was refused with a failure; the caller has its head already.
-        co_return TryUnknown{"failure " + std::to_string(head.status) + " on resuming",
-                             std::nullopt};
+        co_return AttemptUnknown{"failure " + std::to_string(head.status) + " on resuming",
+                                 std::nullopt};
     }
     HttpResponse response{head.status, mCall.parts.calls.answerHeaders(head), std::move(*body)};
     if (head.status == sUnavailable) {
-        response.headers.push_back(mCall.parts.calls.comeBack(comeBackAfterRefusal()));
+        response.headers.push_back(mCall.parts.calls.comeBack(retryDelayAfterRefusal()));
     }
     if (head.status >= 500) {
-        co_return TryUnknown{"failure of the replica's own", std::move(response)};
+        co_return AttemptUnknown{"failure of the replica's own", std::move(response)};
     }
-    noteAnswerBegun();
+    noteResponseStarted();
     const bool sent = co_await mCall.exchange.respond(std::move(response));
-    logEnd(head.status, sent ? "answered" : "caller left", "");
-    co_return TryDone{};
+    logOutcome(head.status, sent ? "answered" : "caller left", "");
+    co_return AttemptCompleted{};
 }
 
-awaitable<TryResult> GatewayCall::passStream(LinkHead head)
+awaitable<AttemptOutcome> GatewayCall::forwardStream(LinkHead head)
 {
     while (true) {
-        auto events = co_await mTry->nextEvents();
+        auto events = co_await mAttempt->nextEvents();
         if (!events) {
             co_return std::move(events.error());
         }
         // The standby goes on from the last event that the caller got before it began.
-        if (mHasStandbyBegun) {
-            co_return TryUnknown{"silent", std::nullopt};
+        if (mHasHedgeTakenOver) {
+            co_return AttemptUnknown{"silent", std::nullopt};
         }
         // At once: the standby could begin while this part of the answer is on its way.
-        stopAwaitingSilence();
-        dropStandby();
+        stopSilenceTimer();
+        cancelHedge();
         if (!mCall.isHeadSent) {
             co_await beginStream(head);
         }
-        if (events->isEnd) {
+        if (events->isEndOfStream) {
             break;
         }
-        if (!co_await passEvents(*events)) {
+        if (!co_await forwardEvents(*events)) {
             mCall.isCallerGone = true;
-            mTry->cancel();
-            co_return TryOver{"the caller left"};
+            mAttempt->cancel();
+            co_return AttemptAborted{"the caller left"};
         }
     }
     const bool sent = co_await mCall.exchange.endStream();
-    logEnd(head.status, sent ? "answered" : "caller left", "");
-    co_return TryDone{};
+    logOutcome(head.status, sent ? "answered" : "caller left", "");
+    co_return AttemptCompleted{};
 }
 
 awaitable<void> GatewayCall::beginStream(const LinkHead &head)
 {
-    noteAnswerBegun();
+    noteResponseStarted();
     mCall.isHeadSent = true;
     HttpResponse begin{head.status, mCall.parts.calls.answerHeaders(head), {}};
     co_await mCall.exchange.beginStream(std::move(begin));
 }
 
 // False: the caller left.
-awaitable<bool> GatewayCall::passEvents(const EventBatch &events)
+awaitable<bool> GatewayCall::forwardEvents(const EventBatch &events)
 {
     mTimes.noteEvents(now());
     mCall.lastEvent = events.last;
-    mEvents += events.count;
+    mForwardedEventCount += events.count;
     const bool sent = co_await mCall.exchange.write(events.text);
-    awaitSilence(std::max(sLeastStreamSilence, mCall.route->pauseGoal * sSilentPauses));
+    startSilenceTimer(std::max(sMinStreamSilence, mCall.route->pauseGoal * sStreamSilencePauses));
     co_return sent;
 }
 
-void GatewayCall::awaitSilence(Milliseconds silence)
+void GatewayCall::startSilenceTimer(Milliseconds silence)
 {
-    mSilence = silence;
-    mIsAwaitingSilence = true;
+    mSilenceTimeout = silence;
+    mIsSilenceTimerRunning = true;
     mSilenceTimer.expires_at(bootTime(now() + silence));
     const std::weak_ptr<bool> alive = mAlive;
     mSilenceTimer.async_wait([this, alive](const boost::system::error_code &error) {
         if (!error && !alive.expired()) {
-            onSilence();
+            onSilenceTimeout();
         }
     });
 }
 
-void GatewayCall::stopAwaitingSilence()
+void GatewayCall::stopSilenceTimer()
 {
-    mIsAwaitingSilence = false;
+    mIsSilenceTimerRunning = false;
     mSilenceTimer.cancel();
 }
 
-void GatewayCall::onSilence()
+void GatewayCall::onSilenceTimeout()
 {
     const auto late = BootClock::now() - mSilenceTimer.expiry();
-    if (!mIsAwaitingSilence || late < late.zero()) {
+    if (!mIsSilenceTimerRunning || late < late.zero()) {
         return; // queued before the replica spoke
     }
-    if (late > sLoopStall) {
-        awaitSilence(mSilence);
+    if (late > sMinLoopStall) {
+        startSilenceTimer(mSilenceTimeout);
         return;
     }
-    mIsAwaitingSilence = false;
+    mIsSilenceTimerRunning = false;
     if (isOverdue()) {
-        mTry->replace();
+        mAttempt->cancelSilent();
         return;
     }
-    if (mIsStandbyRunning || !mayRepeat() || !noFurtherTry().empty()) {
-        awaitMore();
+    if (mIsHedgeRunning || !mayRepeat() || !stopReason().empty()) {
+        restartSilenceTimer();
         return;
     }
-    mIsStandbyRunning = true;
-    mIsStandbyDropped = false;
+    mIsHedgeRunning = true;
+    mIsHedgeCancelled = false;
     // run() waits until it has ended.
-    asio::co_spawn(mCall.exchange.executor(), findStandby(), [this](const std::exception_ptr &) {
-        mIsStandbyRunning = false;
-        mStandbyDone.notify();
+    asio::co_spawn(mCall.exchange.executor(), tryHedge(), [this](const std::exception_ptr &) {
+        mIsHedgeRunning = false;
+        mHedgeEnded.notify();
     });
 }
 
 bool GatewayCall::isOverdue() const
 {
-    return !mCall.isHeadSent && now() >= mOverdueAt;
+    return !mCall.isHeadSent && now() >= mFirstEventDueAt;
 }
 
 // The try goes on without a standby.
-void GatewayCall::awaitMore()
+void GatewayCall::restartSilenceTimer()
 {
-    const auto left = std::chrono::duration_cast<Milliseconds>(mOverdueAt - now());
-    awaitSilence(mCall.isHeadSent ? mSilence : std::max(left, Milliseconds(1)));
+    const auto left = std::chrono::duration_cast<Milliseconds>(mFirstEventDueAt - now());
+    startSilenceTimer(mCall.isHeadSent ? mSilenceTimeout : std::max(left, Milliseconds(1)));
 }
 
-bool GatewayCall::isStandbyWanted() const
+bool GatewayCall::isHedgeNeeded() const
 {
-    return !mIsStandbyDropped && !mCall.isCallerGone && !mCall.isTimeOver;
+    return !mIsHedgeCancelled && !mCall.isCallerGone && !mCall.isTimedOut;
 }
 
 // A silent replica may only be slow. Given up before another one has taken the request
 // over, its caller would be cut where none does.
-awaitable<void> GatewayCall::findStandby()
+awaitable<void> GatewayCall::tryHedge()
 {
-    auto chosen = co_await chooseStandby();
-    std::string_view how = "none found";
+    auto chosen = co_await chooseHedgeReplica();
+    std::string_view hedgeOutcome = "none found";
     if (chosen) {
-        how = co_await runStandby(std::move(*chosen));
+        hedgeOutcome = co_await runHedge(std::move(*chosen));
     }
-    mCall.parts.metrics.count("standby_tries", how);
-    const bool isTryUnderWay = !mTry->hasEnded() && !mHasStandbyBegun && isStandbyWanted();
+    mCall.parts.metrics.count("standby_tries", hedgeOutcome);
+    const bool isTryUnderWay = !mAttempt->isFinished() && !mHasHedgeTakenOver && isHedgeNeeded();
     if (isTryUnderWay) {
-        awaitMore();
+        restartSilenceTimer();
     }
 }
 
-awaitable<std::optional<ChosenReplica>> GatewayCall::chooseStandby()
+awaitable<std::optional<ChosenReplica>> GatewayCall::chooseHedgeReplica()
 {
-    mExcluded.push_back(mTry->chosen().id);
+    mExcludedReplicas.push_back(mAttempt->chosen().id);
     const ReplicaChoice choice = co_await choose();
     const auto *chosen = std::get_if<ChosenReplica>(&choice);
-    if (chosen == nullptr || !isStandbyWanted() || quarantinedFor()) {
+    if (chosen == nullptr || !isHedgeNeeded() || quarantineTimeLeft()) {
         co_return std::nullopt;
     }
     if (!co_await mCall.parts.replicas.takePermit(chosen->id)) {
         co_return std::nullopt;
     }
-    if (!isStandbyWanted() || !mCall.parts.replicas.takeRepeat(mCall.serviceName)) {
+    if (!isHedgeNeeded() || !mCall.parts.replicas.takeRepeat(mCall.serviceName)) {
         co_return std::nullopt;
     }
     co_return *chosen;
 }
 
 // What became of it.
-awaitable<std::string_view> GatewayCall::runStandby(ChosenReplica chosen)
+awaitable<std::string_view> GatewayCall::runHedge(ChosenReplica chosen)
 {
-    mStandby = std::make_unique<ReplicaTry>(mCall, std::move(chosen));
-    std::optional<TryResult> failed = co_await beginStandby();
-    if (!failed && isStandbyWanted()) {
-        mHasStandbyBegun = true;
-        mTry->replace();
+    mHedge = std::make_unique<ReplicaAttempt>(mCall, std::move(chosen));
+    std::optional<AttemptOutcome> failed = co_await prefetchHedge();
+    if (!failed && isHedgeNeeded()) {
+        mHasHedgeTakenOver = true;
+        mAttempt->cancelSilent();
         co_return "took over";
     }
-    const TryResult result = failed ? std::move(*failed) : TryOver{};
-    mStandby->end(result);
-    co_await noteFailed(*mStandby, result);
-    mStandby.reset();
-    co_return mIsStandbyDropped ? "not needed" : "failed";
+    const AttemptOutcome result = failed ? std::move(*failed) : AttemptAborted{};
+    mHedge->end(result);
+    co_await noteFailedAttempt(*mHedge, result);
+    mHedge.reset();
+    co_return mIsHedgeCancelled ? "not needed" : "failed";
 }
 
-awaitable<std::optional<TryResult>> GatewayCall::beginStandby()
+awaitable<std::optional<AttemptOutcome>> GatewayCall::prefetchHedge()
 {
-    auto failed = co_await mStandby->connect();
+    auto failed = co_await mHedge->connect();
     if (failed) {
         co_return std::move(failed);
     }
     noteSent();
-    auto head = co_await mStandby->begin();
+    auto head = co_await mHedge->sendRequest();
     if (!head) {
         co_return std::move(head.error());
     }
-    if (!mStandby->isStream()) {
-        co_return TryUnknown{"failure " + std::to_string(head->status), std::nullopt};
+    if (!mHedge->isStream()) {
+        co_return AttemptUnknown{"failure " + std::to_string(head->status), std::nullopt};
     }
-    mStandbyHead = std::move(*head);
-    co_return co_await mStandby->holdEvents();
+    mHedgeHead = std::move(*head);
+    co_return co_await mHedge->prefetchEvents();
 }
 
 // Waits for a standby that is on its way; false: there is none that has begun.
-awaitable<bool> GatewayCall::standbyFollows()
+awaitable<bool> GatewayCall::waitForHedge()
 {
-    while (mIsStandbyRunning) {
-        co_await mStandbyDone.waitFor(sStandbyStep);
+    while (mIsHedgeRunning) {
+        co_await mHedgeEnded.waitFor(sHedgeWaitInterval);
     }
-    co_return mHasStandbyBegun;
+    co_return mHasHedgeTakenOver;
 }
 
-void GatewayCall::dropStandby()
+void GatewayCall::cancelHedge()
 {
-    mIsStandbyDropped = true;
-    if (mStandby) {
-        mStandby->drop();
+    mIsHedgeCancelled = true;
+    if (mHedge) {
+        mHedge->cancelUnneeded();
     }
 }
 
-awaitable<void> GatewayCall::endStandby()
+awaitable<void> GatewayCall::finishHedge()
 {
-    stopAwaitingSilence();
-    dropStandby();
-    const bool hasBegun = co_await standbyFollows();
+    stopSilenceTimer();
+    cancelHedge();
+    const bool hasBegun = co_await waitForHedge();
     if (hasBegun) {
-        mStandby->end(TryOver{});
+        mHedge->end(AttemptAborted{});
     }
 }
 
-void GatewayCall::noteAnswerBegun()
+void GatewayCall::noteResponseStarted()
 {
     if (mTimes.noteBegun(now())) {
         mCall.parts.metrics.observe("first_answer_ms", mCall.serviceName,
@@ -676,7 +680,7 @@
 awaitable<void> GatewayCall::refuse(Refusal refusal)
 {
     if (mCall.isHeadSent || mCall.isCallerGone) {
-        co_await giveUp(502, refusal.reason);
+        co_await failCall(502, refusal.reason);
         co_return;
     }
     HttpResponse response = jsonError(refusal.status, refusal.reason);
@@ -684,22 +688,22 @@
         response.headers.push_back(mCall.parts.calls.comeBack(*refusal.comeBack));
     }
     co_await mCall.exchange.respond(std::move(response));
-    logEnd(refusal.status, "refused", refusal.reason);
+    logOutcome(refusal.status, "refused", refusal.reason);
 }
 
-awaitable<void> GatewayCall::giveUp(int status, std::string reason)
+awaitable<void> GatewayCall::failCall(int status, std::string reason)
 {
     if (mCall.isHeadSent || mCall.isCallerGone) {
         mCall.exchange.abort(); // a cut answer must not look whole
         if (!mCall.isCallerGone) {
             mCall.parts.metrics.count("cut_answers", reason);
         }
-        logEnd(0, mCall.isCallerGone ? "caller left" : "cut", reason);
+        logOutcome(0, mCall.isCallerGone ? "caller left" : "cut", reason);
         co_return;
     }
     HttpResponse response = jsonError(status, reason);
     co_await mCall.exchange.respond(std::move(response));
-    logEnd(status, "unknown", reason);
+    logOutcome(status, "unknown", reason);
 }
 
 std::string GatewayCall::heldByNotices() const
@@ -707,11 +711,11 @@
     return mCall.parts.replicas.replicas().heldByNotices(mCall.serviceName, now());
 }
 
-void GatewayCall::logEnd(int status, std::string_view outcome, std::string_view reason)
+void GatewayCall::logOutcome(int status, std::string_view outcome, std::string_view reason)
 {
-    const auto took = std::chrono::duration_cast<Milliseconds>(now() - mArrived);
+    const auto duration = std::chrono::duration_cast<Milliseconds>(now() - mArrivedAt);
     const bool isJudged = outcome == "answered" && mCall.route != nullptr;
-    const std::string_view late = isJudged ? mTimes.latenessCause(*mCall.route, mSends) : "";
+    const std::string_view late = isJudged ? mTimes.latenessCause(*mCall.route, mSendCount) : "";
     mCall.parts.metrics.count("calls", outcome);
     mCall.parts.replicas.noteEnd(status == 503);
     if (!late.empty()) {
@@ -727,23 +731,23 @@
              {"status", status},
              {"outcome", outcome},
              {"reason", reason},
-             {"sends", mSends},
-             {"denied", mDenied},
-             {"noMore", mNoMore},
+             {"sends", mSendCount},
+             {"denied", mDeniedPermitCount},
+             {"noMore", mStopReason},
              {"held", outcome == "refused" ? heldByNotices() : std::string()},
-             {"events", mEvents},
-             {"replica", mTried.id},
+             {"events", mForwardedEventCount},
+             {"replica", mLastChosen.id},
              {"request", mDigest.text()},
-             {"load", mTried.load},
-             {"loadAgeMs", mTried.loadAge.count()},
-             {"predictedMs", std::lround(mTried.answerMs)},
+             {"load", mLastChosen.load},
+             {"loadAgeMs", mLastChosen.loadAge.count()},
+             {"predictedMs", std::lround(mLastChosen.answerMs)},
              {"patient", mWasPatient},
              {"waitedBeforeMs", mTimes.waitedBefore().count()},
              {"deadlineMs", mCall.caller.deadline ? mCall.caller.deadline->count() : -1},
              {"late", late},
              {"pauseMs", mTimes.longestPause().count()},
              {"firstMs", mTimes.first().value_or(Milliseconds(-1)).count()},
-             {"tookMs", took.count()}});
+             {"tookMs", duration.count()}});
 }
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/gatewaycall.h
+++ b/src/libloomjunction/gateway/gatewaycall.h
@@ -13,7 +13,7 @@
 #include "bootclock.h"
 #include "callstate.h"
 #include "instant.h"
-#include "replicatry.h"
+#include "replicaattempt.h"
 #include "requestdigest.h"
 
 #include <cstdint>
@@ -49,78 +49,78 @@
     };
 
     std::optional<Refusal> prepare();
-    std::optional<Refusal> findAccount();
-    awaitable<void> tryReplicas();
+    std::optional<Refusal> authenticate();
+    awaitable<void> sendToReplicas();
     /** Why no further try may follow; empty: one may. */
-    std::string_view noFurtherTry() const;
+    std::string_view stopReason() const;
     const RequestDigest &digest();
     /** For how long the request is refused, since it ends what runs it. */
-    std::optional<Milliseconds> quarantinedFor();
-    awaitable<void> noteFailed(const ReplicaTry &attempt, const TryResult &result);
+    std::optional<Milliseconds> quarantineTimeLeft();
+    awaitable<void> noteFailedAttempt(const ReplicaAttempt &attempt, const AttemptOutcome &result);
     void noteGoodEnd();
     void noteSent();
     ReplicaQuery query() const;
     awaitable<ReplicaChoice> choose() const;
-    Milliseconds comeBackAfterRefusal() const;
+    Milliseconds retryDelayAfterRefusal() const;
     bool mayRepeat() const;
 
-    awaitable<TryResult> tryOnce(ChosenReplica chosen);
-    awaitable<TryResult> runTry();
-    awaitable<TryResult> passWhole(LinkHead head);
-    awaitable<TryResult> passStream(LinkHead head);
-    awaitable<bool> passEvents(const EventBatch &events);
+    awaitable<AttemptOutcome> runAttemptWithHedge(ChosenReplica chosen);
+    awaitable<AttemptOutcome> runAttempt();
+    awaitable<AttemptOutcome> forwardResponse(LinkHead head);
+    awaitable<AttemptOutcome> forwardStream(LinkHead head);
+    awaitable<bool> forwardEvents(const EventBatch &events);
     awaitable<void> beginStream(const LinkHead &head);
-    void adopt(std::unique_ptr<ReplicaTry> attempt);
+    void setAttempt(std::unique_ptr<ReplicaAttempt> attempt);
 
-    void awaitSilence(Milliseconds silence);
-    void awaitMore();
+    void startSilenceTimer(Milliseconds silence);
+    void restartSilenceTimer();
     bool isOverdue() const;
-    void onSilence();
-    void stopAwaitingSilence();
-    awaitable<void> findStandby();
-    awaitable<std::optional<ChosenReplica>> chooseStandby();
-    awaitable<std::string_view> runStandby(ChosenReplica chosen);
-    awaitable<std::optional<TryResult>> beginStandby();
-    bool isStandbyWanted() const;
-    awaitable<bool> standbyFollows();
-    void dropStandby();
-    awaitable<void> endStandby();
+    void onSilenceTimeout();
+    void stopSilenceTimer();
+    awaitable<void> tryHedge();
+    awaitable<std::optional<ChosenReplica>> chooseHedgeReplica();
+    awaitable<std::string_view> runHedge(ChosenReplica chosen);
+    awaitable<std::optional<AttemptOutcome>> prefetchHedge();
+    bool isHedgeNeeded() const;
+    awaitable<bool> waitForHedge();
+    void cancelHedge();
+    awaitable<void> finishHedge();
 
     awaitable<void> refuse(Refusal refusal);
-    awaitable<void> giveUp(int status, std::string reason);
-    void startWatching();
-    void cancelTries();
-    void noteAnswerBegun();
+    awaitable<void> failCall(int status, std::string reason);
+    void watchCallerAndDeadline();
+    void cancelAttempts();
+    void noteResponseStarted();
     std::string heldByNotices() const;
-    void logEnd(int status, std::string_view outcome, std::string_view reason);
+    void logOutcome(int status, std::string_view outcome, std::string_view reason);
 
     CallState mCall;
-    const Instant mArrived;
+    const Instant mArrivedAt;
     std::uint64_t mRandom = 0;
     BootTimer mDeadlineTimer;
     std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 
-    std::unique_ptr<ReplicaTry> mTry; ///< that the caller gets its answer from
-    std::vector<std::string> mExcluded; ///< replicas that were tried
-    std::uint32_t mSends = 0;
-    std::uint32_t mFailedConnects = 0;
-    std::uint32_t mDenied = 0; ///< sends to replicas that named a limit
+    std::unique_ptr<ReplicaAttempt> mAttempt; ///< that the caller gets its answer from
+    std::vector<std::string> mExcludedReplicas; ///< replicas that were tried
+    std::uint32_t mSendCount = 0;
+    std::uint32_t mFailedConnectCount = 0;
+    std::uint32_t mDeniedPermitCount = 0; ///< sends to replicas that named a limit
 
     BootTimer mSilenceTimer;
-    Milliseconds mSilence{0}; ///< that the timer waits for
-    Instant mOverdueAt; ///< the try under way is given up then unless it has begun
-    bool mIsAwaitingSilence = false;
-    std::unique_ptr<ReplicaTry> mStandby;
-    LinkHead mStandbyHead;
-    Signal mStandbyDone;
-    bool mIsStandbyRunning = false; ///< findStandby() has not returned
-    bool mHasStandbyBegun = false; ///< its first events are here, and it replaces the try
-    bool mIsStandbyDropped = false; ///< the caller needs it no more
-
-    std::uint32_t mEvents = 0; ///< that the caller got
-    std::string_view mNoMore; ///< why no further try followed the last one
+    Milliseconds mSilenceTimeout{0}; ///< that the timer waits for
+    Instant mFirstEventDueAt; ///< the try under way is given up then unless it has begun
+    bool mIsSilenceTimerRunning = false;
+    std::unique_ptr<ReplicaAttempt> mHedge;
+    LinkHead mHedgeHead;
+    Signal mHedgeEnded;
+    bool mIsHedgeRunning = false; ///< tryHedge() has not returned
+    bool mHasHedgeTakenOver = false; ///< its first events are here, and it replaces the try
+    bool mIsHedgeCancelled = false; ///< the caller needs it no more
+
+    std::uint32_t mForwardedEventCount = 0; ///< that the caller got
+    std::string_view mStopReason; ///< why no further try followed the last one
     AnswerTimes mTimes;
-    ChosenReplica mTried; ///< the last one
+    ChosenReplica mLastChosen; ///< the last one
     RequestDigest mDigest; ///< made only where it is asked for
     bool mWasPatient = false;
 };
--- a/src/libloomjunction/gateway/gatewayfront.cpp
+++ b/src/libloomjunction/gateway/gatewayserver.cpp
@@ -1,12 +1,12 @@
 /*
- * gatewayfront.cpp
+ * gatewayserver.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "gatewayfront.h"
+#include "gatewayserver.h"
 
 #include "clock.h"
 #include "directconfig.h"
@@ -26,27 +26,27 @@
 namespace {
 
 // Callers that hold an address answer go on coming for its lifetime and longer.
-constexpr std::chrono::milliseconds sLeastDrain{3'000};
+constexpr std::chrono::milliseconds sMinDrainTime{3'000};
 // A leaving gateway that got no request for so long is not asked any more.
-constexpr std::chrono::milliseconds sQuiet{700};
-constexpr std::chrono::milliseconds sDrainStep{50};
+constexpr std::chrono::milliseconds sQuietTime{700};
+constexpr std::chrono::milliseconds sDrainPollInterval{50};
 // Before the platform's kill: last answers and log lines still have to leave.
-constexpr std::chrono::milliseconds sStopMargin{400};
+constexpr std::chrono::milliseconds sKillMargin{400};
 // Time that a request may need when the replicas are full; with less left until
 // the stop, another gateway has to take it.
-constexpr std::chrono::milliseconds sLongRequest{5'000};
-constexpr Milliseconds sElsewhere{50};
+constexpr std::chrono::milliseconds sMaxRequestTime{5'000};
+constexpr Milliseconds sLeavingRetryDelay{50};
 
 } // namespace
 
-GatewayFront::GatewayFront(CallPort &calls, Metrics &metrics, const DirectSettings &settings)
+GatewayServer::GatewayServer(CallPort &calls, Metrics &metrics, const DirectSettings &settings)
     : mCalls(calls)
     , mMetrics(metrics)
     , mSettings(settings)
 {
 }
 
-tl::expected<void, std::string> GatewayFront::start(Kernel &kernel)
+tl::expected<void, std::string> GatewayServer::start(Kernel &kernel)
 {
     mConfig = &kernel.find<DirectConfig>(DirectConfig::sName);
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
@@ -60,15 +60,15 @@
         state.configVersion = mConfig->table() ? mConfig->table()->version() : 0;
         return state;
     });
-    mConfig->addListener([this] { takeLimits(); });
+    mConfig->addListener([this] { applyLimits(); });
     mServer = std::make_unique<HttpServer>(
         kernel.executor(), [this](HttpExchange &exchange) { return handle(exchange); });
     mServer->setLossHandler(
-        [this](HttpLoss loss, std::string_view problem) { noteLoss(loss, problem); });
+        [this](HttpLoss loss, std::string_view problem) { noteLostRequest(loss, problem); });
     return mServer->listen(std::get<GatewaySettings>(mSettings.role).callers);
 }
 
-void GatewayFront::takeLimits()
+void GatewayServer::applyLimits()
 {
     if (!mConfig->table()) {
         return; // weights may be named before a configuration is known
@@ -84,25 +84,25 @@
 }
 
 // No call began, or none ended, so no other line tells of the request.
-void GatewayFront::noteLoss(HttpLoss loss, std::string_view problem)
+void GatewayServer::noteLostRequest(HttpLoss loss, std::string_view problem)
 {
     const std::string_view how = loss == HttpLoss::NotRead ? "not read whole" : "not answered";
     mMetrics.count("lost_requests", how);
     logLine(LogLevel::Warning, "request-lost", {{"how", how}, {"problem", problem}});
 }
 
-bool GatewayFront::isReady() const
+bool GatewayServer::isReady() const
 {
     return !mIsLeaving && mConfig->table() && mFeeds->age(Feed::Replicas);
 }
 
-awaitable<void> GatewayFront::handle(HttpExchange &exchange)
+awaitable<void> GatewayServer::handle(HttpExchange &exchange)
 {
     ++mInFlight;
-    mLastCall = BootClock::now();
-    if (refusesNew()) {
+    mLastCallAt = BootClock::now();
+    if (refusesNewRequests()) {
         HttpResponse response = HttpResponse::json(503, R"({"error":"this gateway is leaving"})");
-        response.headers.push_back(mCalls.comeBack(sElsewhere));
+        response.headers.push_back(mCalls.comeBack(sLeavingRetryDelay));
         co_await exchange.respond(std::move(response));
         mMetrics.count("calls", "refused while leaving");
         --mInFlight;
@@ -114,30 +114,30 @@
     --mInFlight;
 }
 
-awaitable<void> GatewayFront::drain()
+awaitable<void> GatewayServer::drain()
 {
-    mRefuseFrom = BootClock::time_point::max();
+    mRefusesFrom = BootClock::time_point::max();
     mIsLeaving = true;
     mServer->beginDrain();
     mMembers->noteChange();
     asio::co_spawn(co_await asio::this_coro::executor, mMembers->leave(), asio::detached);
     const auto begun = BootClock::now();
-    const auto end = begun + mSettings.bounds.stopTime - sStopMargin;
-    mRefuseFrom = end - sLongRequest;
+    const auto end = begun + mSettings.bounds.stopTime - sKillMargin;
+    mRefusesFrom = end - sMaxRequestTime;
     while (BootClock::now() < end) {
         const auto time = BootClock::now();
-        const bool isQuiet = mInFlight == 0 && time - mLastCall > sQuiet;
-        if (isQuiet && time - begun > sLeastDrain) {
+        const bool isIdle = mInFlight == 0 && time - mLastCallAt > sQuietTime;
+        if (isIdle && time - begun > sMinDrainTime) {
             break;
         }
-        co_await sleepFor(sDrainStep);
+        co_await sleepFor(sDrainPollInterval);
     }
     logLine(LogLevel::Info, "drained", {{"inFlight", mInFlight}});
     mServer->stopListening();
     mServer->closeIdle();
 }
 
-void GatewayFront::stop()
+void GatewayServer::stop()
 {
     mServer->stopListening();
 }
--- a/src/libloomjunction/gateway/gatewayfront.h
+++ b/src/libloomjunction/gateway/gatewayserver.h
@@ -1,5 +1,5 @@
 /*
- * gatewayfront.h
+ * gatewayserver.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -25,12 +25,12 @@
 class ReplicaService;
 
 /** Where callers' requests come in; also says whether this gateway is ready. */
-class GatewayFront final : public Service
+class GatewayServer final : public Service
 {
 public:
     static constexpr std::string_view sName = "gateway-front";
 
-    GatewayFront(CallPort &calls, Metrics &metrics, const DirectSettings &settings);
+    GatewayServer(CallPort &calls, Metrics &metrics, const DirectSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -41,15 +41,15 @@
     bool isReady() const;
     bool isLeaving() const { return mIsLeaving; }
     /** What comes now could not end before the stop. */
-    bool refusesNew() const { return mIsLeaving && BootClock::now() > mRefuseFrom; }
+    bool refusesNewRequests() const { return mIsLeaving && BootClock::now() > mRefusesFrom; }
     /** Where requests come in, e.g. after asking for port 0. */
     Tcp::endpoint localEndpoint() const { return mServer->localEndpoint(); }
     std::uint32_t inFlight() const { return mInFlight; }
 
 private:
     awaitable<void> handle(HttpExchange &exchange);
-    void noteLoss(HttpLoss loss, std::string_view problem);
-    void takeLimits();
+    void noteLostRequest(HttpLoss loss, std::string_view problem);
+    void applyLimits();
 
     CallPort &mCalls;
     Metrics &mMetrics;
@@ -61,8 +61,8 @@
     QuarantineService *mQuarantine = nullptr;
     std::unique_ptr<HttpServer> mServer;
     std::uint32_t mInFlight = 0;
-    BootClock::time_point mLastCall;
-    BootClock::time_point mRefuseFrom; ///< while leaving
+    BootClock::time_point mLastCallAt;
+    BootClock::time_point mRefusesFrom; ///< while leaving
     bool mIsLeaving = false;
 };
 
--- a/src/libloomjunction/gateway/statsfront.cpp
+++ b/src/libloomjunction/gateway/metricsserver.cpp
@@ -1,37 +1,37 @@
 /*
- * statsfront.cpp
+ * metricsserver.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "statsfront.h"
+#include "metricsserver.h"
 
 #include "jsonhttp.h"
 #include "metrics.h"
 
 namespace Loom {
 
-StatsFront::StatsFront(const Metrics &metrics, Tcp::endpoint address)
+MetricsServer::MetricsServer(const Metrics &metrics, Tcp::endpoint address)
     : mMetrics(metrics)
     , mAddress(std::move(address))
 {
 }
 
-tl::expected<void, std::string> StatsFront::start(Kernel &kernel)
+tl::expected<void, std::string> MetricsServer::start(Kernel &kernel)
 {
     mServer = std::make_unique<HttpServer>(
         kernel.executor(), [this](HttpExchange &exchange) { return handle(exchange); });
     return mServer->listen(mAddress);
 }
 
-void StatsFront::stop()
+void MetricsServer::stop()
 {
     mServer->stopListening();
 }
 
-awaitable<void> StatsFront::handle(HttpExchange &exchange)
+awaitable<void> MetricsServer::handle(HttpExchange &exchange)
 {
     HttpResponse response = errorResponse(404, "no such path");
     if (exchange.request().path() == "/metrics") {
--- a/src/libloomjunction/gateway/statsfront.h
+++ b/src/libloomjunction/gateway/metricsserver.h
@@ -1,5 +1,5 @@
 /*
- * statsfront.h
+ * metricsserver.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -18,12 +18,12 @@
 class Metrics;
 
 /** Serves the process's metrics in the text exposition format. */
-class StatsFront final : public Service
+class MetricsServer final : public Service
 {
 public:
     static constexpr std::string_view sName = "stats-front";
 
-    StatsFront(const Metrics &metrics, Tcp::endpoint address);
+    MetricsServer(const Metrics &metrics, Tcp::endpoint address);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
--- a/src/libloomjunction/gateway/replicatry.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -1,12 +1,12 @@
 /*
- * replicatry.cpp
+ * replicaattempt.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "replicatry.h"
+#include "replicaattempt.h"
 
 #include "directconfig.h"
 #include "jsonlog.h"
@@ -22,10 +22,10 @@
 
 // A request's way to a replica and its refusal's way back. With a deadline so much
 // before the request is given up, a replica that holds it can say that it did not run.
-constexpr Milliseconds sRefusalWay{100};
+constexpr Milliseconds sRefusalRoundTrip{100};
 // Answers of earlier requests that may lie before ours on a kept connection.
-constexpr int sMostForeignAnswers = 2;
-constexpr std::size_t sMostWholeAnswer = std::size_t{16} * 1024 * 1024;
+constexpr int sMaxStaleResponses = 2;
+constexpr std::size_t sMaxResponseBytes = std::size_t{16} * 1024 * 1024;
 
 std::string_view linkErrorName(LinkError error)
 {
@@ -44,125 +44,128 @@
     return "unknown";
 }
 
-ReplicaOutcome outcomeOf(const TryResult &result)
+ReplicaOutcome outcomeOf(const AttemptOutcome &result)
 {
     return std::visit(Overload{
-                          [](const TryDone &) { return ReplicaOutcome::Answered; },
-                          [](const TryNotRun &) { return ReplicaOutcome::Refused; },
-                          [](const TryUnknown &failed) {
-                              if (failed.isGivenUp) {
+                          [](const AttemptCompleted &) { return ReplicaOutcome::Answered; },
+                          [](const AttemptNotExecuted &) { return ReplicaOutcome::Refused; },
+                          [](const AttemptUnknown &failed) {
+                              if (failed.isAbandonedByGateway) {
                                   return ReplicaOutcome::Abandoned;
                               }
                               return failed.answer ? ReplicaOutcome::Failed
                                                    : ReplicaOutcome::Broken;
                           },
-                          [](const TryOver &) { return ReplicaOutcome::Abandoned; },
+                          [](const AttemptAborted &) { return ReplicaOutcome::Abandoned; },
                       },
                       result);
 }
 
 } // namespace
 
-ReplicaTry::ReplicaTry(CallState &call, ChosenReplica chosen)
+ReplicaAttempt::ReplicaAttempt(CallState &call, ChosenReplica chosen)
     : mCall(call)
     , mChosen(std::move(chosen))
     , mWeightsTimer(call.exchange.executor())
     , mSentAt(now())
-    , mIsAwaiting(true)
+    , mIsAwaitingFirstResponse(true)
 {
     if (const Replica *replica = call.parts.replicas.replicas().find(mChosen.id)) {
-        mLife = {mChosen.id, replica->record.born, replica->record.address,
-                 replica->record.isDraining || replica->notices.isLeaving()};
+        mIncarnation = {mChosen.id, replica->record.born, replica->record.address,
+                        replica->record.isDraining || replica->notices.isLeaving()};
     }
     call.parts.replicas.began(mChosen.id, mChosen.isPatient);
 }
 
-ReplicaTry::~ReplicaTry() = default;
+ReplicaAttempt::~ReplicaAttempt() = default;
 
-awaitable<std::optional<TryResult>> ReplicaTry::connect()
+awaitable<std::optional<AttemptOutcome>> ReplicaAttempt::connect()
 {
-    const std::uint32_t cap = mCall.service == nullptr ? 0 : mCall.service->connectionCap;
-    auto link = co_await mCall.parts.replicas.link(mChosen.id, mLife.address, cap);
-    mWasReached = link.has_value();
+    const std::uint32_t maxConnections
+        = mCall.service == nullptr ? 0 : mCall.service->connectionCap;
+    auto link
+        = co_await mCall.parts.replicas.link(mChosen.id, mIncarnation.address, maxConnections);
+    mWasConnected = link.has_value();
     if (link) {
         mLink = std::move(*link);
     }
     // What was chosen has waited since, for a permit or a connection.
     const HeldBack held = mCall.parts.replicas.heldBack(mChosen.id);
     const Replica *still = mCall.parts.replicas.replicas().find(mChosen.id);
-    const bool isUnfit = held != HeldBack::Nothing || areWeightsOver(still->weightsVersion());
+    const bool cannotServe
+        = held != HeldBack::Nothing || areWeightsExpired(still->weightsVersion());
     // The close may wait in the loop behind this, when the process stood still.
     mCall.isCallerGone = mCall.isCallerGone || mCall.exchange.hasCallerLeft();
-    if (mCall.isCallerGone || mCall.isTimeOver) {
-        co_return TryOver{"time was over before a replica was reached"};
+    if (mCall.isCallerGone || mCall.isTimedOut) {
+        co_return AttemptAborted{"time was over before a replica was reached"};
     }
-    if (mEnding != Ending::None) {
-        co_return TryUnknown{"another was first", std::nullopt, true};
+    if (mCancelReason != CancelReason::None) {
+        co_return AttemptUnknown{"another was first", std::nullopt, true};
     }
-    if (!mWasReached) {
-        co_return TryNotRun{"the replica could not be reached"};
+    if (!mWasConnected) {
+        co_return AttemptNotExecuted{"the replica could not be reached"};
     }
-    if (isUnfit) {
-        co_return TryNotRun{"the replica takes nothing more"};
+    if (cannotServe) {
+        co_return AttemptNotExecuted{"the replica takes nothing more"};
     }
     co_return std::nullopt;
 }
 
-void ReplicaTry::end(const TryResult &result)
+void ReplicaAttempt::end(const AttemptOutcome &result)
 {
-    if (mHasEnded) {
+    if (mIsFinished) {
         return;
     }
-    mHasEnded = true;
-    stopWatchingWeights();
-    noteAnswer(false);
+    mIsFinished = true;
+    stopWatchingWeightsExpiry();
+    noteFirstResponse(false);
     ReplicaService &replicas = mCall.parts.replicas;
     // What was not sent says nothing of the replica but whether it could be reached.
     const ReplicaOutcome unsent
-        = mWasReached ? ReplicaOutcome::Abandoned : ReplicaOutcome::Unreachable;
-    replicas.replicas().ended(mChosen.id, mWasSent ? outcomeOf(result) : unsent, now());
+        = mWasConnected ? ReplicaOutcome::Abandoned : ReplicaOutcome::Unreachable;
+    replicas.replicas().ended(mChosen.id, mWasRequestSent ? outcomeOf(result) : unsent, now());
     if (mLink) {
         replicas.giveBack(mChosen.id, std::move(mLink));
     }
-    if (mWasSent && !std::holds_alternative<TryDone>(result)) {
+    if (mWasRequestSent && !std::holds_alternative<AttemptCompleted>(result)) {
         mCall.parts.metrics.count("tries_failed", mCall.serviceName);
     }
 }
 
-awaitable<tl::expected<LinkHead, TryResult>> ReplicaTry::begin()
+awaitable<tl::expected<LinkHead, AttemptOutcome>> ReplicaAttempt::sendRequest()
 {
     mSentAt = now();
-    mWasSent = true;
-    mIsUnbegun = mCall.isForEngine();
-    if (mIsUnbegun) {
-        watchWeights();
+    mWasRequestSent = true;
+    mIsWaitingToRun = mCall.isForEngine();
+    if (mIsWaitingToRun) {
+        watchWeightsExpiry();
     }
-    auto head = co_await ownHead();
+    auto head = co_await exchangeHead();
     if (!head) {
-        co_return tl::unexpected(afterLinkError(head.error()));
+        co_return tl::unexpected(outcomeOfLinkError(head.error()));
     }
     if (!mCall.route->isStream) {
-        noteAnswer(true);
+        noteFirstResponse(true);
     }
-    co_return co_await judge(std::move(*head));
+    co_return co_await classifyResponse(std::move(*head));
 }
 
 // Reads heads until one answers this request: a surplus answer to an earlier
 // one may stand before it on a kept connection.
-awaitable<tl::expected<LinkHead, LinkError>> ReplicaTry::ownHead()
+awaitable<tl::expected<LinkHead, LinkError>> ReplicaAttempt::exchangeHead()
 {
     const HttpRequest &request = mCall.exchange.request();
     const OutgoingFields fields = outgoingFields();
     const std::vector<HttpHeader> headers = mCall.parts.calls.outgoing(request, fields);
     const LinkRequest outgoing{request.method, request.target, headers, request.body};
-    const auto deadline = steadyTime(mCall.deadline + sLeastTime);
+    const auto deadline = steadyTime(mCall.deadline + sMinTimeLeft);
     auto head = co_await mLink->exchange(outgoing, deadline);
-    for (int foreign = 0; head; ++foreign) {
+    for (int staleCount = 0; head; ++staleCount) {
         const AnswerFields told = mCall.parts.calls.answerFields(*head);
         noteNotice(told);
         const std::string &id = told.requestId;
         const bool isOwn = id == mCall.caller.id || id.empty();
-        if (isOwn || foreign == sMostForeignAnswers) {
+        if (isOwn || staleCount == sMaxStaleResponses) {
             break;
         }
         mCall.parts.metrics.count("foreign_answers", mCall.serviceName);
@@ -173,7 +176,7 @@
     co_return std::move(head);
 }
 
-awaitable<tl::expected<LinkHead, TryResult>> ReplicaTry::judge(LinkHead head)
+awaitable<tl::expected<LinkHead, AttemptOutcome>> ReplicaAttempt::classifyResponse(LinkHead head)
 {
     const AnswerFields fields = mCall.parts.calls.answerFields(head);
     if (fields.isNotRun) {
@@ -182,67 +185,68 @@
         } else {
             noteRate(fields.rate, false);
         }
-        co_await mLink->readWhole(sMostWholeAnswer, steadyTime(mCall.deadline));
-        co_return tl::unexpected(TryNotRun{"replica refused: " + std::to_string(head.status)});
+        co_await mLink->readWhole(sMaxResponseBytes, steadyTime(mCall.deadline));
+        co_return tl::unexpected(
+            AttemptNotExecuted{"replica refused: " + std::to_string(head.status)});
     }
     if (fields.requestId != mCall.caller.id) {
         mLink->cancel();
-        co_return tl::unexpected(TryUnknown{"answer to another request", std::nullopt});
+        co_return tl::unexpected(AttemptUnknown{"answer to another request", std::nullopt});
     }
     const bool isSuccess = head.status / 100 == 2;
     noteRate(fields.rate, isSuccess && fields.isSigned);
     mIsStream = isSuccess && fields.isStream;
     if (!mIsStream) {
-        stopWatchingWeights();
+        stopWatchingWeightsExpiry();
     }
     if (isSuccess && !fields.isSigned) {
         mLink->cancel();
-        co_return tl::unexpected(TryUnknown{"answer without signature", std::nullopt});
+        co_return tl::unexpected(AttemptUnknown{"answer without signature", std::nullopt});
     }
     co_return std::move(head);
 }
 
-awaitable<tl::expected<std::string, TryResult>> ReplicaTry::readWhole()
+awaitable<tl::expected<std::string, AttemptOutcome>> ReplicaAttempt::readWhole()
 {
-    const auto deadline = steadyTime(mCall.deadline + sLeastTime);
-    auto body = co_await mLink->readWhole(sMostWholeAnswer, deadline);
+    const auto deadline = steadyTime(mCall.deadline + sMinTimeLeft);
+    auto body = co_await mLink->readWhole(sMaxResponseBytes, deadline);
     if (!body) {
-        co_return tl::unexpected(afterLinkError(body.error()));
+        co_return tl::unexpected(outcomeOfLinkError(body.error()));
     }
     co_return std::move(*body);
 }
 
-awaitable<tl::expected<EventBatch, TryResult>> ReplicaTry::nextEvents()
+awaitable<tl::expected<EventBatch, AttemptOutcome>> ReplicaAttempt::nextEvents()
 {
-    if (mHeld) {
-        EventBatch held = std::move(*mHeld);
-        mHeld.reset();
+    if (mPrefetched) {
+        EventBatch held = std::move(*mPrefetched);
+        mPrefetched.reset();
         co_return held;
     }
     EventBatch batch;
     batch.last = mCall.lastEvent;
-    while (batch.count == 0 && !batch.isEnd) {
+    while (batch.count == 0 && !batch.isEndOfStream) {
         // Silence alone ends no try: the replica may be slow, and then nothing is gained.
-        const auto piece = co_await mLink->readBody(steadyTime(mCall.deadline + sLeastTime));
+        const auto piece = co_await mLink->readBody(steadyTime(mCall.deadline + sMinTimeLeft));
         if (!piece) {
-            co_return tl::unexpected(afterLinkError(piece.error()));
+            co_return tl::unexpected(outcomeOfLinkError(piece.error()));
         }
-        batch.isEnd = piece->empty();
-        if (batch.isEnd && mSplitter.pending() > 0) {
+        batch.isEndOfStream = piece->empty();
+        if (batch.isEndOfStream && mSplitter.pending() > 0) {
             co_return tl::unexpected(
-                TryUnknown{"stream ended within an event", std::nullopt, false, true});
+                AttemptUnknown{"stream ended within an event", std::nullopt, false, true});
         }
-        stopWatchingWeights();
-        takeEvents(*piece, batch);
+        stopWatchingWeightsExpiry();
+        appendEvents(*piece, batch);
     }
     if (batch.count > 0) {
-        noteAnswer(true);
+        noteFirstResponse(true);
     }
     co_return batch;
 }
 
 // A resumed stream may begin with events that the caller has.
-void ReplicaTry::takeEvents(std::string_view piece, EventBatch &batch)
+void ReplicaAttempt::appendEvents(std::string_view piece, EventBatch &batch)
 {
     for (const StreamEvent &event : mSplitter.feed(piece)) {
         const bool isRepeat = event.id && batch.last && *event.id <= *batch.last;
@@ -257,71 +261,71 @@
     }
 }
 
-awaitable<std::optional<TryResult>> ReplicaTry::holdEvents()
+awaitable<std::optional<AttemptOutcome>> ReplicaAttempt::prefetchEvents()
 {
     auto events = co_await nextEvents();
     if (!events) {
         co_return std::move(events.error());
     }
-    mHeld = std::move(*events);
+    mPrefetched = std::move(*events);
     co_return std::nullopt;
 }
 
-void ReplicaTry::cancel()
+void ReplicaAttempt::cancel()
 {
     if (mLink) {
         mLink->cancel();
     }
 }
 
-void ReplicaTry::drop()
+void ReplicaAttempt::cancelUnneeded()
 {
-    endAs(Ending::Dropped);
+    cancelFor(CancelReason::Unneeded);
 }
 
-void ReplicaTry::replace()
+void ReplicaAttempt::cancelSilent()
 {
-    endAs(Ending::Replaced);
+    cancelFor(CancelReason::Silent);
 }
 
-void ReplicaTry::endAs(Ending ending)
+void ReplicaAttempt::cancelFor(CancelReason ending)
 {
-    if (mEnding == Ending::None) {
-        mEnding = ending;
+    if (mCancelReason == CancelReason::None) {
+        mCancelReason = ending;
     }
     cancel();
 }
 
-TryResult ReplicaTry::afterLinkError(LinkError error) const
+AttemptOutcome ReplicaAttempt::outcomeOfLinkError(LinkError error) const
 {
     if (mCall.isCallerGone) {
-        return TryOver{"the caller left"};
+        return AttemptAborted{"the caller left"};
     }
     // The link's own deadline may come a moment before the call's.
-    if (mCall.isTimeOver || mCall.timeLeft() < sLeastTime) {
-        return TryOver{"time was over"};
-    }
-    switch (mEnding) {
-    case Ending::WeightsOver:
-        return TryUnknown{"its weights were over", std::nullopt, true};
-    case Ending::Dropped:
-        return TryUnknown{"another was first", std::nullopt, true};
-    case Ending::Replaced:
-        return TryUnknown{"silent", std::nullopt};
-    case Ending::None:
+    if (mCall.isTimedOut || mCall.timeLeft() < sMinTimeLeft) {
+        return AttemptAborted{"time was over"};
+    }
+    switch (mCancelReason) {
+    case CancelReason::WeightsExpired:
+        return AttemptUnknown{"its weights were over", std::nullopt, true};
+    case CancelReason::Unneeded:
+        return AttemptUnknown{"another was first", std::nullopt, true};
+    case CancelReason::Silent:
+        return AttemptUnknown{"silent", std::nullopt};
+    case CancelReason::None:
         break;
     }
-    return TryUnknown{std::string(linkErrorName(error)), std::nullopt, false,
-                      error == LinkError::Closed};
+    return AttemptUnknown{std::string(linkErrorName(error)), std::nullopt, false,
+                          error == LinkError::Closed};
 }
 
 // Once for each try: its answer or first event came, or never will.
-void ReplicaTry::noteAnswer(bool hasBegun)
+void ReplicaAttempt::noteFirstResponse(bool hasBegun)
 {
-    if (!mIsAwaiting) {
+    if (!mIsAwaitingFirstResponse) {
         return;
     }
-    mIsAwaiting = false;
+    mIsAwaitingFirstResponse = false;
     if (hasBegun) {
         mCall.parts.replicas.answerBegan(mChosen.id, mChosen.isPatient, now() - mSentAt);
     } else {
@@ -330,7 +334,7 @@
 }
 
 // A failure may come from a part of the replica that knows nothing of its need.
-void ReplicaTry::noteRate(const NamedRate &rate, bool isGood)
+void ReplicaAttempt::noteRate(const NamedRate &rate, bool isGood)
 {
     if (isGood || !std::holds_alternative<NoRate>(rate)) {
         mCall.parts.replicas.noteRate(mChosen.id, rate, mSentAt);
@@ -339,17 +343,17 @@
 
 // An answer to another request says as much of the replica as one to this request. Which
 // replica answered, the answer knows best: addresses are given away.
-void ReplicaTry::noteNotice(const AnswerFields &fields)
+void ReplicaAttempt::noteNotice(const AnswerFields &fields)
 {
     const bool isOther = !fields.replicaId.empty() && fields.replicaId != mChosen.id;
-    mLife.isLeaving = mLife.isLeaving || (!isOther && fields.notice.isLeaving);
-    ReplicaLife life = mLife;
+    mIncarnation.isLeaving = mIncarnation.isLeaving || (!isOther && fields.notice.isLeaving);
+    ReplicaLife life = mIncarnation;
     life.id = isOther ? fields.replicaId : mChosen.id;
-    life.born = isOther ? 0 : mLife.born;
+    life.born = isOther ? 0 : mIncarnation.born;
     mCall.parts.replicas.noteNotice(life, fields.notice);
 }
 
-OutgoingFields ReplicaTry::outgoingFields() const
+OutgoingFields ReplicaAttempt::outgoingFields() const
 {
     OutgoingFields fields;
     fields.deadline = mCall.timeLeft();
@@ -368,7 +372,8 @@
     if (replica != nullptr && replica->weightsVersion() == newest) {
         fields.weightsVersion = newest;
     } else if (replica != nullptr) {
-        fields.deadline = std::min(fields.deadline, timeOfWeights(replica->weightsVersion()));
+        fields.deadline
+            = std::min(fields.deadline, timeUntilWeightsExpire(replica->weightsVersion()));
     }
     return fields;
 }
@@ -376,18 +381,18 @@
 // A request may lie at a replica for long, as when its box stands still. The
 // replica drops it at its deadline, so it cannot begin after its weights are
 // over. A stream that runs then goes on at another replica.
-Milliseconds ReplicaTry::timeOfWeights(std::uint64_t version) const
+Milliseconds ReplicaAttempt::timeUntilWeightsExpire(std::uint64_t version) const
 {
     const auto giveUp = mCall.parts.config.weights().giveUpAt(mCall.caller.model, version);
     if (!giveUp) {
         return Milliseconds::max();
     }
-    const auto left = std::chrono::duration_cast<Milliseconds>(*giveUp - now()) - sRefusalWay;
-    return std::max(left, sLeastTime);
+    const auto left = std::chrono::duration_cast<Milliseconds>(*giveUp - now()) - sRefusalRoundTrip;
+    return std::max(left, sMinTimeLeft);
 }
 
 // What has not begun on @p version by now might begin too late.
-bool ReplicaTry::areWeightsOver(std::uint64_t version) const
+bool ReplicaAttempt::areWeightsExpired(std::uint64_t version) const
 {
     if (!mCall.isForEngine()) {
         return false;
@@ -398,29 +403,30 @@
 
 // The deadline of a request counts from its arrival. On its way, and at a replica that
 // stands still, only the end of its connection keeps it from beginning too late.
-void ReplicaTry::watchWeights()
+void ReplicaAttempt::watchWeightsExpiry()
 {
     const Replica *replica = mCall.parts.replicas.replicas().find(mChosen.id);
     // It may have loaded newer ones since, and what waits there begins on those.
-    mTriedWeights = std::max(mTriedWeights, replica == nullptr ? 0 : replica->weightsVersion());
-    if (areWeightsOver(mTriedWeights)) {
-        endAs(Ending::WeightsOver);
+    mNewestWeightsSeen
+        = std::max(mNewestWeightsSeen, replica == nullptr ? 0 : replica->weightsVersion());
+    if (areWeightsExpired(mNewestWeightsSeen)) {
+        cancelFor(CancelReason::WeightsExpired);
         return;
     }
     const WeightsGoal &weights = mCall.parts.config.weights();
-    const auto giveUp = weights.giveUpAt(mCall.caller.model, mTriedWeights);
+    const auto giveUp = weights.giveUpAt(mCall.caller.model, mNewestWeightsSeen);
     mWeightsTimer.expires_at(bootTime(giveUp.value_or(weights.lookAgainAt(now()))));
     const std::weak_ptr<bool> alive = mAlive;
     mWeightsTimer.async_wait([this, alive](const boost::system::error_code &error) {
-        if (!error && !alive.expired() && mIsUnbegun) {
-            watchWeights();
+        if (!error && !alive.expired() && mIsWaitingToRun) {
+            watchWeightsExpiry();
         }
     });
 }
 
-void ReplicaTry::stopWatchingWeights()
+void ReplicaAttempt::stopWatchingWeightsExpiry()
 {
-    mIsUnbegun = false;
+    mIsWaitingToRun = false;
     mWeightsTimer.cancel();
 }
 
--- a/src/loomjunctiond/directdaemon.cpp
+++ b/src/loomjunctiond/directdaemon.cpp
@@ -8,21 +8,21 @@
 
 #include "directdaemon.h"
 
-#include "addressfront.h"
+#include "addressserver.h"
 #include "directconfig.h"
 #include "feedservice.h"
-#include "gatewayfront.h"
+#include "gatewayserver.h"
 #include "jsonlog.h"
 #include "loadreporter.h"
 #include "loopwatch.h"
 #include "memberservice.h"
+#include "metricsserver.h"
 #include "peerhub.h"
 #include "permitservice.h"
 #include "platform.h"
 #include "quarantineservice.h"
 #include "replicaservice.h"
 #include "stageservice.h"
-#include "statsfront.h"
 
 #include <csignal>
 #include <fstream>
@@ -88,7 +88,7 @@
         addStager();
     }
     if (mSettings.metrics) {
-        mKernel.add(std::make_unique<StatsFront>(mMetrics, *mSettings.metrics));
+        mKernel.add(std::make_unique<MetricsServer>(mMetrics, *mSettings.metrics));
     }
 }
 
@@ -97,8 +97,8 @@
     mKernel.add(std::make_unique<PermitService>());
     mKernel.add(std::make_unique<ReplicaService>(*mPorts.records, mMetrics, mSettings));
     mKernel.add(std::make_unique<QuarantineService>(*mPorts.store, mMetrics));
-    mKernel.add(std::make_unique<GatewayFront>(*mPorts.calls, mMetrics, mSettings));
-    mKernel.add(std::make_unique<AddressFront>(*mPorts.calls, mSettings));
+    mKernel.add(std::make_unique<GatewayServer>(*mPorts.calls, mMetrics, mSettings));
+    mKernel.add(std::make_unique<AddressServer>(*mPorts.calls, mSettings));
 }
 
 void DirectDaemon::addStager()
--- a/tests/gateway/slowway.cpp
+++ b/tests/gateway/delayingproxy.cpp
@@ -1,12 +1,12 @@
 /*
- * slowway.cpp
+ * delayingproxy.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "slowway.h"
+#include "delayingproxy.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr std::size_t sPieceBytes = 16 * 1024;
+constexpr std::size_t sReadBufferBytes = 16 * 1024;
 constexpr std::chrono::hours sNoDeadline{1};
 
-void closeQuietly(Tcp::socket &socket)
+void closeIgnoringErrors(Tcp::socket &socket)
 {
     boost::system::error_code ignored;
     socket.close(ignored);
@@ -27,16 +27,16 @@
 
 } // namespace
 
-SlowWay::SlowWay(const asio::any_io_executor &executor, Tcp::endpoint target,
-                 std::chrono::milliseconds least)
+DelayingProxy::DelayingProxy(const asio::any_io_executor &executor, Tcp::endpoint target,
+                             std::chrono::milliseconds minDelay)
     : mAcceptor(executor, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     , mTarget(std::move(target))
-    , mLeast(least)
+    , mMinDelay(minDelay)
 {
     asio::co_spawn(executor, accept(), asio::detached);
 }
 
-awaitable<void> SlowWay::accept()
+awaitable<void> DelayingProxy::accept()
 {
     while (true) {
         auto [error, socket] = co_await mAcceptor.async_accept(sAsValue);
@@ -44,44 +44,44 @@
             co_return;
         }
         auto caller = std::make_shared<Tcp::socket>(std::move(socket));
-        asio::co_spawn(mAcceptor.get_executor(), join(caller), asio::detached);
+        asio::co_spawn(mAcceptor.get_executor(), connectTarget(caller), asio::detached);
     }
 }
 
-awaitable<void> SlowWay::join(std::shared_ptr<Tcp::socket> caller)
+awaitable<void> DelayingProxy::connectTarget(std::shared_ptr<Tcp::socket> caller)
 {
     auto target = std::make_shared<Tcp::socket>(mAcceptor.get_executor());
     auto [error] = co_await target->async_connect(mTarget, sAsValue);
     if (error) {
-        closeQuietly(*caller);
+        closeIgnoringErrors(*caller);
         co_return;
     }
     start(caller, target, std::chrono::milliseconds(0));
-    start(target, caller, mLeast);
+    start(target, caller, mMinDelay);
 }
 
-void SlowWay::start(std::shared_ptr<Tcp::socket> from, std::shared_ptr<Tcp::socket> to,
-                    std::chrono::milliseconds least)
+void DelayingProxy::start(std::shared_ptr<Tcp::socket> from, std::shared_ptr<Tcp::socket> to,
+                          std::chrono::milliseconds minDelay)
 {
     auto direction = std::make_shared<Direction>();
     direction->from = std::move(from);
     direction->to = std::move(to);
-    direction->least = least;
+    direction->minDelay = minDelay;
     direction->changed = std::make_unique<Signal>(mAcceptor.get_executor());
-    asio::co_spawn(mAcceptor.get_executor(), take(direction), asio::detached);
-    asio::co_spawn(mAcceptor.get_executor(), passOn(direction), asio::detached);
+    asio::co_spawn(mAcceptor.get_executor(), receive(direction), asio::detached);
+    asio::co_spawn(mAcceptor.get_executor(), forward(direction), asio::detached);
 }
 
-awaitable<void> SlowWay::take(DirectionPtr direction)
+awaitable<void> DelayingProxy::receive(DirectionPtr direction)
 {
-    std::string buffer(sPieceBytes, '\0');
+    std::string buffer(sReadBufferBytes, '\0');
     while (true) {
         auto [error, size]
             = co_await direction->from->async_read_some(asio::buffer(buffer), sAsValue);
         if (error) {
             break;
         }
-        const Time dueAt = std::chrono::steady_clock::now() + direction->least;
+        const Time dueAt = std::chrono::steady_clock::now() + direction->minDelay;
         direction->pieces.push_back({dueAt, buffer.substr(0, size)});
         direction->changed->notify();
     }
@@ -89,7 +89,7 @@
     direction->changed->notify();
 }
 
-awaitable<void> SlowWay::passOn(DirectionPtr direction)
+awaitable<void> DelayingProxy::forward(DirectionPtr direction)
 {
     while (true) {
         if (direction->pieces.empty()) {
@@ -111,8 +111,8 @@
             break;
         }
     }
-    closeQuietly(*direction->to);
-    closeQuietly(*direction->from);
+    closeIgnoringErrors(*direction->to);
+    closeIgnoringErrors(*direction->from);
 }
 
 } // namespace Loom
--- a/tests/gateway/slowway.h
+++ b/tests/gateway/delayingproxy.h
@@ -1,5 +1,5 @@
 /*
- * slowway.h
+ * delayingproxy.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -18,11 +18,11 @@
 namespace Loom {
 
 /** A way to a process on which every byte of its answers takes some time at least. */
-class SlowWay
+class DelayingProxy
 {
 public:
-    SlowWay(const asio::any_io_executor &executor, Tcp::endpoint target,
-            std::chrono::milliseconds least);
+    DelayingProxy(const asio::any_io_executor &executor, Tcp::endpoint target,
+                  std::chrono::milliseconds minDelay);
 
     Tcp::endpoint address() const { return mAcceptor.local_endpoint(); }
 
@@ -40,7 +40,7 @@
     {
         std::shared_ptr<Tcp::socket> from;
         std::shared_ptr<Tcp::socket> to;
-        std::chrono::milliseconds least{0};
+        std::chrono::milliseconds minDelay{0};
         std::deque<Piece> pieces;
         std::unique_ptr<Signal> changed;
         bool hasEnded = false;
@@ -48,15 +48,15 @@
     using DirectionPtr = std::shared_ptr<Direction>;
 
     awaitable<void> accept();
-    awaitable<void> join(std::shared_ptr<Tcp::socket> caller);
+    awaitable<void> connectTarget(std::shared_ptr<Tcp::socket> caller);
     void start(std::shared_ptr<Tcp::socket> from, std::shared_ptr<Tcp::socket> to,
-               std::chrono::milliseconds least);
-    static awaitable<void> take(DirectionPtr direction);
-    static awaitable<void> passOn(DirectionPtr direction);
+               std::chrono::milliseconds minDelay);
+    static awaitable<void> receive(DirectionPtr direction);
+    static awaitable<void> forward(DirectionPtr direction);
 
     Tcp::acceptor mAcceptor;
     Tcp::endpoint mTarget;
-    std::chrono::milliseconds mLeast;
+    std::chrono::milliseconds mMinDelay;
 };
 
 } // namespace Loom
--- a/tests/gateway/fleetgateway.cpp
+++ b/tests/gateway/fleetgateway.cpp
@@ -50,7 +50,7 @@
     mKernel.add(std::make_unique<PermitService>());
     mKernel.add(std::make_unique<ReplicaService>(mRecords, mMetrics, mSettings));
     mKernel.add(std::make_unique<QuarantineService>(store, mMetrics));
-    mKernel.add(std::make_unique<GatewayFront>(mCalls, mMetrics, mSettings));
+    mKernel.add(std::make_unique<GatewayServer>(mCalls, mMetrics, mSettings));
 }
 
 void FleetGateway::start()
@@ -64,7 +64,7 @@
     const auto places = members.addressPlaces();
     const auto heard = std::ranges::count_if(
         places, [](const AddressPlace &place) { return place.standing == GatewayStanding::Heard; });
-    return mKernel.find<GatewayFront>(GatewayFront::sName).isReady()
+    return mKernel.find<GatewayServer>(GatewayServer::sName).isReady()
         && static_cast<std::size_t>(heard) >= others
         && mKernel.find<ReplicaService>(ReplicaService::sName).replicas().all().size() >= replicas;
 }
--- a/tests/gateway/fleetgateway.h
+++ b/tests/gateway/fleetgateway.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 
 #include <string>
 
@@ -29,7 +29,7 @@
     bool isReady(std::size_t replicas, std::size_t others);
     Tcp::endpoint callers()
     {
-        return mKernel.find<GatewayFront>(GatewayFront::sName).localEndpoint();
+        return mKernel.find<GatewayServer>(GatewayServer::sName).localEndpoint();
     }
     ReplicaService &replicas() { return mKernel.find<ReplicaService>(ReplicaService::sName); }
     PermitService &permits() { return mKernel.find<PermitService>(PermitService::sName); }
--- a/tests/gateway/directlab.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -1,12 +1,12 @@
 /*
- * directlab.cpp
+ * gatewayfixture.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
+constexpr std::chrono::seconds sTestTimeout{20};
 
 std::string configText(std::uint64_t version)
 {
@@ -50,7 +50,7 @@
 
 } // namespace
 
-DirectSettings DirectLab::settings()
+DirectSettings GatewayFixture::settings()
 {
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
     DirectSettings settings;
@@ -67,7 +67,7 @@
     return settings;
 }
 
-DirectLab::DirectLab()
+GatewayFixture::GatewayFixture()
 {
     mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
     mKernel.add(std::make_unique<FeedService>(store, mSettings.box, FeedPreference::Store));
@@ -79,12 +79,12 @@
     mKernel.add(std::make_unique<PermitService>());
     mKernel.add(std::make_unique<ReplicaService>(mRecords, mMetrics, mSettings));
     mKernel.add(std::make_unique<QuarantineService>(store, mMetrics));
-    mKernel.add(std::make_unique<GatewayFront>(mCalls, mMetrics, mSettings));
-    mKernel.add(std::make_unique<AddressFront>(mCalls, mSettings));
+    mKernel.add(std::make_unique<GatewayServer>(mCalls, mMetrics, mSettings));
+    mKernel.add(std::make_unique<AddressServer>(mCalls, mSettings));
 }
 
-ScriptedReplica &DirectLab::addReplica(std::string id, std::string service,
-                                       ScriptedReplica::Script script, std::uint64_t weights)
+ScriptedReplica &GatewayFixture::addReplica(std::string id, std::string service,
+                                            ScriptedReplica::Script script, std::uint64_t weights)
 {
     mReplicas.push_back(std::make_unique<ScriptedReplica>(context, std::move(script)));
     const std::string value = R"({"service":")" + service + R"(","address":")"
@@ -94,12 +94,12 @@
     return *mReplicas.back();
 }
 
-void DirectLab::writeConfig(std::uint64_t version)
+void GatewayFixture::writeConfig(std::uint64_t version)
 {
     store.write(Feed::Operators, "config", configText(version));
 }
 
-void DirectLab::run(std::function<awaitable<void>()> test)
+void GatewayFixture::run(std::function<awaitable<void>()> test)
 {
     BOOST_REQUIRE(mKernel.start().has_value());
     std::exception_ptr thrown;
@@ -113,10 +113,9 @@
     }
 }
 
-awaitable<tl::expected<HttpResponse, HttpError>> DirectLab::call(std::string method,
-                                                                 std::string path, std::string id,
-                                                                 std::string key,
-                                                                 std::string deadlineMs)
+awaitable<tl::expected<HttpResponse, HttpError>>
+GatewayFixture::call(std::string method, std::string path, std::string id, std::string key,
+                     std::string deadlineMs)
 {
     HttpCall request;
     request.endpoint = front().localEndpoint();
@@ -126,15 +125,15 @@
                        {"Loomjunction-Deadline-Ms", std::move(deadlineMs)},
                        {"Loomjunction-Model", "m"},
                        {"Authorization", "Token " + key}};
-    request.timeout = sGenerous;
+    request.timeout = sTestTimeout;
     HttpClient fresh(context.get_executor());
     request.headers.push_back({"Host", "h"});
     co_return co_await fresh.send(std::move(request));
 }
 
-awaitable<void> DirectLab::waitFor(std::function<bool()> condition)
+awaitable<void> GatewayFixture::waitFor(std::function<bool()> condition)
 {
-    const auto until = std::chrono::steady_clock::now() + sGenerous;
+    const auto until = std::chrono::steady_clock::now() + sTestTimeout;
     while (!condition()) {
         BOOST_REQUIRE(std::chrono::steady_clock::now() < until);
         co_await sleepFor(std::chrono::milliseconds(5));
--- a/tests/gateway/directlab.h
+++ b/tests/gateway/gatewayfixture.h
@@ -1,5 +1,5 @@
 /*
- * directlab.h
+ * gatewayfixture.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,12 +8,12 @@
 
 #pragma once
 
-#include "addressfront.h"
+#include "addressserver.h"
 #include "calls.h"
 #include "clock.h"
 #include "directconfig.h"
 #include "feedservice.h"
-#include "gatewayfront.h"
+#include "gatewayserver.h"
 #include "memberservice.h"
 #include "metrics.h"
 #include "peerhub.h"
@@ -43,15 +43,16 @@
     {
     }
 
-    bool isAway = false;
-    bool hasForgotten = false; ///< the next read finds its records gone
-    int reads = 0; ///< so far, of all feeds
-    int fullReads = 0; ///< of those, of every key
-    std::array<std::vector<Milliseconds>, sFeedCount> waits; ///< that reads so far asked for
-    std::size_t mostAtOnce = 1'000'000; ///< records that one read gives
-    Milliseconds onTheWay{0}; ///< every answer takes so long after the store looked
-    std::array<int, sFeedCount> fullReadsOf{}; ///< the same by feed
-    Milliseconds fullReadTime{0}; ///< that each of them takes
+    bool isUnreachable = false;
+    bool hasLostHistory = false; ///< the next read finds its records gone
+    int readCount = 0; ///< so far, of all feeds
+    int fullReadCount = 0; ///< of those, of every key
+    std::array<std::vector<Milliseconds>, sFeedCount>
+        requestedWaits; ///< that reads so far asked for
+    std::size_t maxRecordsPerRead = 1'000'000; ///< records that one read gives
+    Milliseconds responseDelay{0}; ///< every answer takes so long after the store looked
+    std::array<int, sFeedCount> fullReadCountByFeed{}; ///< the same by feed
+    Milliseconds fullReadDuration{0}; ///< that each of them takes
 
     void write(Feed feed, std::string key, std::optional<std::string> value)
     {
@@ -63,39 +64,39 @@
     awaitable<tl::expected<FeedBatch, StoreError>> read(Feed feed, std::uint64_t from,
                                                         Milliseconds wait) override
     {
-        ++reads;
-        waits[static_cast<std::size_t>(feed)].push_back(wait);
+        ++readCount;
+        requestedWaits[static_cast<std::size_t>(feed)].push_back(wait);
         const auto &log = mLogs[static_cast<std::size_t>(feed)];
-        if (!isAway && log.size() <= from) {
+        if (!isUnreachable && log.size() <= from) {
             co_await mChanged.waitFor(wait);
         }
-        if (isAway) {
+        if (isUnreachable) {
             co_return tl::unexpected(StoreError::Unreachable);
         }
-        if (std::exchange(hasForgotten, false)) {
+        if (std::exchange(hasLostHistory, false)) {
             co_return tl::unexpected(StoreError::Forgotten);
         }
         FeedBatch batch;
-        const std::uint64_t end = std::min<std::uint64_t>(log.size(), from + mostAtOnce);
+        const std::uint64_t end = std::min<std::uint64_t>(log.size(), from + maxRecordsPerRead);
         for (std::uint64_t offset = from; offset < end; ++offset) {
             batch.records.push_back(log[offset]);
             batch.bytes += bytesOf(log[offset]);
         }
         batch.next = std::max(from, end);
         batch.hasMore = batch.next < log.size();
-        co_await sleepFor(onTheWay);
+        co_await sleepFor(responseDelay);
         co_return batch;
     }
 
     awaitable<tl::expected<FeedBatch, StoreError>> newest(Feed feed) override
     {
-        if (isAway) {
+        if (isUnreachable) {
             co_return tl::unexpected(StoreError::Refused);
         }
-        ++fullReads;
-        ++fullReadsOf[static_cast<std::size_t>(feed)];
-        if (fullReadTime.count() > 0) {
-            co_await sleepFor(fullReadTime);
+        ++fullReadCount;
+        ++fullReadCountByFeed[static_cast<std::size_t>(feed)];
+        if (fullReadDuration.count() > 0) {
+            co_await sleepFor(fullReadDuration);
         }
         const auto &log = mLogs[static_cast<std::size_t>(feed)];
         RecordBook book;
@@ -110,14 +111,14 @@
             }
         }
         batch.next = log.size();
-        co_await sleepFor(onTheWay);
+        co_await sleepFor(responseDelay);
         co_return batch;
     }
 
     awaitable<tl::expected<void, StoreError>> put(std::string key,
                                                   std::optional<std::string> value) override
     {
-        if (isAway) {
+        if (isUnreachable) {
             co_return tl::unexpected(StoreError::Unreachable);
         }
         write(Feed::Members, std::move(key), std::move(value));
@@ -220,10 +221,10 @@
 };
 
 /** One gateway over a store in memory, with scripted replicas. */
-class DirectLab
+class GatewayFixture
 {
 public:
-    DirectLab();
+    GatewayFixture();
 
     asio::io_context context{1};
     MemoryStore store{context.get_executor()};
@@ -242,8 +243,8 @@
     /** Waits until @p condition holds; fails the test after a generous time. */
     awaitable<void> waitFor(std::function<bool()> condition);
 
-    GatewayFront &front() { return mKernel.find<GatewayFront>(GatewayFront::sName); }
-    AddressFront &addresses() { return mKernel.find<AddressFront>(AddressFront::sName); }
+    GatewayServer &front() { return mKernel.find<GatewayServer>(GatewayServer::sName); }
+    AddressServer &addresses() { return mKernel.find<AddressServer>(AddressServer::sName); }
     DirectConfig &config() { return mKernel.find<DirectConfig>(DirectConfig::sName); }
     FeedService &feeds() { return mKernel.find<FeedService>(FeedService::sName); }
     MemberService &members() { return mKernel.find<MemberService>(MemberService::sName); }
--- a/tests/gateway/scriptedagent.h
+++ b/tests/gateway/scriptedagent.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "peerserver.h"
 #include "wire.pb.h"
 
@@ -23,7 +23,7 @@
 {
 public:
     /** Records itself as a member that stands beside @p replica. */
-    ScriptedAgent(DirectLab &lab, const ScriptedReplica &replica)
+    ScriptedAgent(GatewayFixture &lab, const ScriptedReplica &replica)
         : mReplica(replica.address())
         , mServer(lab.context.get_executor(),
                   [this](PeerStreamPtr stream) { return serve(std::move(stream)); })
--- a/tests/gateway/stagelab.h
+++ b/tests/gateway/stagelab.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "loadreporter.h"
 #include "manifest.h"
 #include "stageservice.h"
--- a/tests/gateway/test_addresses.cpp
+++ b/tests/gateway/test_addresses.cpp
@@ -8,7 +8,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "jsonhttp.h"
 
 #include <algorithm>
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr std::size_t sGatewaysEach = 6;
+constexpr std::size_t sGatewaysPerDataCentre = 6;
 
 // Of this process alone, so that no other connection can take the port meanwhile.
-Tcp::endpoint ownEndpoint(asio::io_context &context)
+Tcp::endpoint reserveEndpoint(asio::io_context &context)
 {
     static std::uint32_t sUsed = 0;
     constexpr std::uint32_t loopback = 0x7f000000;
@@ -31,17 +31,18 @@
     return Tcp::acceptor(context, Tcp::endpoint(address, 0)).local_endpoint();
 }
 
-/** Another gateway of the lab's store, as far as the members see it. */
-class OtherGateway
+/** Another gateway of the fixture's store, as far as the members see it. */
+class PeerGateway
 {
 public:
-    OtherGateway(DirectLab &lab, std::string dataCentre, std::string callers)
-        : mSettings(settings(lab, std::move(dataCentre), callers))
-        , mKernel(lab.context.get_executor())
+    PeerGateway(GatewayFixture &fixture, std::string dataCentre, std::string callers)
+        : mSettings(settings(fixture, std::move(dataCentre), callers))
+        , mKernel(fixture.context.get_executor())
     {
         mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
-        mKernel.add(std::make_unique<FeedService>(lab.store, mSettings.box, FeedPreference::Store));
-        mKernel.add(std::make_unique<MemberService>(lab.store, mSettings, 1));
+        mKernel.add(
+            std::make_unique<FeedService>(fixture.store, mSettings.box, FeedPreference::Store));
+        mKernel.add(std::make_unique<MemberService>(fixture.store, mSettings, 1));
     }
 
     void start()
@@ -63,7 +64,7 @@
     }
 
 private:
-    static DirectSettings settings(DirectLab &lab, std::string dataCentre,
+    static DirectSettings settings(GatewayFixture &fixture, std::string dataCentre,
                                    const std::string &callers)
     {
         const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
@@ -71,7 +72,7 @@
         settings.box = callers;
         settings.dataCentre = std::move(dataCentre);
         settings.region = "r1";
-        settings.peers = ownEndpoint(lab.context);
+        settings.peers = reserveEndpoint(fixture.context);
         settings.store = anyPort;
         settings.role = GatewaySettings{*parseEndpoint(callers), anyPort, anyPort};
         return settings;
@@ -82,20 +83,20 @@
     bool mIsLeaving = false;
 };
 
-/** The lab's gateway in z1 and others in z1 and z2, six in each data centre. */
-class AddressLab : public DirectLab
+/** The fixture's gateway in z1 and others in z1 and z2, six in each data centre. */
+class AddressFixture : public GatewayFixture
 {
 public:
-    AddressLab()
+    AddressFixture()
     {
         writeConfig(1);
         addReplica("i-1", "plain", [](const std::string &) { return ScriptedReplica::Answer{}; });
-        for (std::size_t index = 1; index <= sGatewaysEach; ++index) {
+        for (std::size_t index = 1; index <= sGatewaysPerDataCentre; ++index) {
             const std::string port = ":" + std::to_string(index);
-            if (index < sGatewaysEach) {
-                others.push_back(std::make_unique<OtherGateway>(*this, "z1", "10.0.1.0" + port));
+            if (index < sGatewaysPerDataCentre) {
+                others.push_back(std::make_unique<PeerGateway>(*this, "z1", "10.0.1.0" + port));
             }
-            others.push_back(std::make_unique<OtherGateway>(*this, "z2", "10.0.2.0" + port));
+            others.push_back(std::make_unique<PeerGateway>(*this, "z2", "10.0.2.0" + port));
         }
     }
 
@@ -118,7 +119,7 @@
     }
 
     /** Waits for an answer with so many addresses. */
-    awaitable<std::vector<std::string>> untilAddresses(std::string dataCentre, std::size_t count)
+    awaitable<std::vector<std::string>> waitForAddresses(std::string dataCentre, std::size_t count)
     {
         std::vector<std::string> found;
         const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -129,16 +130,16 @@
         co_return found;
     }
 
-    awaitable<void> begin()
+    awaitable<void> startPeers()
     {
         for (const auto &other : others) {
             other->start();
         }
-        const auto all = co_await untilAddresses("", 2 * sGatewaysEach);
-        BOOST_TEST(all.size() == 2 * sGatewaysEach);
+        const auto all = co_await waitForAddresses("", 2 * sGatewaysPerDataCentre);
+        BOOST_TEST(all.size() == 2 * sGatewaysPerDataCentre);
     }
 
-    std::vector<std::unique_ptr<OtherGateway>> others;
+    std::vector<std::unique_ptr<PeerGateway>> others;
 };
 
 std::size_t countOf(std::span<const std::string> addresses, std::string_view begin)
@@ -155,29 +156,30 @@
 // caller had sent at 47.446 s and left at 47.582 s reached its gateway at 48.79 s,
 // which passed it to a replica within its 12 ms. No gateway can know so early that
 // the caller has left; the request must not lie on such a link.
-BOOST_AUTO_TEST_CASE(callers_are_told_the_gateways_of_their_own_data_centre)
+BOOST_AUTO_TEST_CASE(callers_get_the_gateways_of_their_own_data_centre)
 {
-    AddressLab lab;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.begin();
-        const auto near = co_await lab.untilAddresses("z1", sGatewaysEach);
-        BOOST_TEST(near.size() == sGatewaysEach);
+    AddressFixture fixture;
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.startPeers();
+        const auto near = co_await fixture.waitForAddresses("z1", sGatewaysPerDataCentre);
+        BOOST_TEST(near.size() == sGatewaysPerDataCentre);
         BOOST_TEST(countOf(near, "10.0.2.") == 0);
         // Also where a gateway elsewhere is asked.
-        const auto far = co_await lab.untilAddresses("z2", sGatewaysEach);
-        BOOST_TEST(far.size() == sGatewaysEach);
-        BOOST_TEST(countOf(far, "10.0.2.") == sGatewaysEach);
+        const auto far = co_await fixture.waitForAddresses("z2", sGatewaysPerDataCentre);
+        BOOST_TEST(far.size() == sGatewaysPerDataCentre);
+        BOOST_TEST(countOf(far, "10.0.2.") == sGatewaysPerDataCentre);
     });
 }
 
-BOOST_AUTO_TEST_CASE(callers_of_unknown_data_centres_are_told_all_gateways_that_stay)
+BOOST_AUTO_TEST_CASE(callers_of_unknown_data_centres_get_all_gateways_that_are_not_leaving)
 {
-    AddressLab lab;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.begin();
-        lab.others.front()->leave();
-        const auto stay = co_await lab.untilAddresses("elsewhere", 2 * sGatewaysEach - 1);
-        BOOST_TEST(stay.size() == 2 * sGatewaysEach - 1);
+    AddressFixture fixture;
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.startPeers();
+        fixture.others.front()->leave();
+        const auto stay
+            = co_await fixture.waitForAddresses("elsewhere", 2 * sGatewaysPerDataCentre - 1);
+        BOOST_TEST(stay.size() == 2 * sGatewaysPerDataCentre - 1);
         BOOST_TEST(countOf(stay, "10.0.1.0:1") == 0);
     });
 }
--- a/tests/gateway/test_asking.cpp
+++ b/tests/gateway/test_asking.cpp
@@ -48,7 +48,7 @@
         }
     }
 
-    DirectLab lab;
+    GatewayFixture lab;
     ScriptedReplica &first = lab.addReplica("i-1", "engine", streams);
     ScriptedReplica &second = lab.addReplica("i-2", "engine", streams);
     ScriptedAgent firstAgent{lab, first};
@@ -147,7 +147,7 @@
 
 BOOST_AUTO_TEST_CASE(an_agent_looks_at_its_engine_when_asked_and_once_for_questions_together)
 {
-    DirectLab lab; // its gateway's hub serves the reporter's path in this test
+    GatewayFixture lab; // its gateway's hub serves the reporter's path in this test
     asio::io_context &context = lab.context;
     Kernel kernel(context.get_executor());
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -9,7 +9,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "clock.h"
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "memberplan.h"
 #include "peerserver.h"
 
@@ -91,7 +91,7 @@
 public:
     FleetLab(int gateways, int stagers)
     {
-        store.fullReadTime = Milliseconds(200);
+        store.fullReadDuration = Milliseconds(200);
         for (int index = 0; index < gateways + stagers; ++index) {
             add(index, index < gateways);
         }
@@ -147,7 +147,10 @@
         BOOST_TEST(ended);
     }
 
-    int fullReadsOf(Feed feed) const { return store.fullReadsOf[static_cast<std::size_t>(feed)]; }
+    int fullReadCountByFeed(Feed feed) const
+    {
+        return store.fullReadCountByFeed[static_cast<std::size_t>(feed)];
+    }
 
     asio::io_context context{1};
     MemoryStore store{context.get_executor()};
@@ -196,8 +199,8 @@
 {
     FleetLab lab(8, 6);
     lab.run();
-    BOOST_TEST(lab.fullReadsOf(Feed::Operators) == sDataCentres);
-    BOOST_TEST(lab.fullReadsOf(Feed::Replicas) == sDataCentres);
+    BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == sDataCentres);
+    BOOST_TEST(lab.fullReadCountByFeed(Feed::Replicas) == sDataCentres);
 }
 
 BOOST_AUTO_TEST_CASE(a_begin_without_its_first_reader_ends_well)
@@ -205,7 +208,7 @@
     FleetLab lab(8, 6);
     lab.run(&lab.firstReader("z0"));
     // The next in turn reads for the others.
-    BOOST_TEST(lab.fullReadsOf(Feed::Operators) < static_cast<int>(lab.members.size()) / 2);
+    BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) < static_cast<int>(lab.members.size()) / 2);
 }
 
 // An agent knew one seed, which was not there. The members' feed came from the store at
@@ -221,7 +224,7 @@
         }
     }
     lab.run();
-    BOOST_TEST(lab.fullReadsOf(Feed::Operators) == sDataCentres);
+    BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == sDataCentres);
 }
 
 BOOST_AUTO_TEST_CASE(a_begin_with_a_first_reader_that_stands_still_ends_well)
@@ -251,12 +254,12 @@
         }
     }
     lab.run();
-    BOOST_TEST(lab.fullReadsOf(Feed::Members) == 8);
+    BOOST_TEST(lab.fullReadCountByFeed(Feed::Members) == 8);
 }
 
 BOOST_AUTO_TEST_CASE(few_gateways_that_begin_each_read_for_themselves)
 {
     FleetLab lab(2, 0);
     lab.run();
-    BOOST_TEST(lab.fullReadsOf(Feed::Operators) == 2);
+    BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == 2);
 }
--- a/tests/gateway/test_givenup.cpp
+++ b/tests/gateway/test_cancelledrequests.cpp
@@ -1,5 +1,5 @@
 /*
- * test_givenup.cpp
+ * test_cancelledrequests.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,14 +8,14 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 
 using namespace Loom;
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
-constexpr std::size_t sLongBody = std::size_t{3} * 1024 * 1024;
+constexpr std::chrono::seconds sTestTimeout{20};
+constexpr std::size_t sLargeBodyBytes = std::size_t{3} * 1024 * 1024;
 
 std::string requestText(std::string_view path, std::size_t bodyBytes)
 {
@@ -26,10 +26,10 @@
 }
 
 /** A replica that reads a request's head and then nothing until it is told to. */
-class PausingReplica
+class PausedReplica
 {
 public:
-    PausingReplica(asio::io_context &context, std::string answer)
+    PausedReplica(asio::io_context &context, std::string answer)
         : mAcceptor(context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
         , mAnswer(std::move(answer))
         , mMayRead(context.get_executor())
@@ -38,7 +38,7 @@
     }
 
     std::string address() const { return endpointText(mAcceptor.local_endpoint()); }
-    void readOn()
+    void resumeReading()
     {
         mIsReading = true;
         mMayRead.notify();
@@ -74,7 +74,7 @@
         ++heads;
         co_await asio::async_write(*socket, asio::buffer(mAnswer), sAsValue);
         while (!mIsReading) {
-            co_await mMayRead.waitFor(sGenerous);
+            co_await mMayRead.waitFor(sTestTimeout);
         }
         bytes += buffer.size() - size;
         boost::system::error_code end;
@@ -94,10 +94,10 @@
 };
 
 /** A gateway with one such replica, and a caller. */
-class GivenUpLab : public DirectLab
+class CancelFixture : public GatewayFixture
 {
 public:
-    explicit GivenUpLab(std::string answer = "")
+    explicit CancelFixture(std::string answer = "")
         : replica(context, std::move(answer))
     {
         writeConfig(1);
@@ -106,24 +106,24 @@
                         + R"(","zone":"z1","slots":4,"state":"ready","models":[]})");
     }
 
-    awaitable<void> begin(std::string request)
+    awaitable<void> sendRequest(std::string request)
     {
         co_await waitFor(
             [this] { return front().isReady() && replicas().replicas().all().size() == 1; });
-        auto connected = co_await connectWithin(front().localEndpoint(), sGenerous);
+        auto connected = co_await connectWithin(front().localEndpoint(), sTestTimeout);
         BOOST_REQUIRE(connected.has_value());
         caller.emplace(std::move(*connected));
         co_await asio::async_write(*caller, asio::buffer(request), sAsValue);
         co_await waitFor([this] { return replica.heads == 1; });
     }
 
-    awaitable<void> untilEnded()
+    awaitable<void> waitForConnectionEnd()
     {
-        replica.readOn();
+        replica.resumeReading();
         co_await waitFor([this] { return replica.ends.size() == 1; });
     }
 
-    PausingReplica replica;
+    PausedReplica replica;
     std::optional<Tcp::socket> caller;
 };
 
@@ -133,58 +133,58 @@
 // the box yet, on a full link or of a long body, was still delivered, and the
 // request then ran for a caller that had left. The replica read all that the
 // system held for it, and an end as behind a whole request.
-BOOST_AUTO_TEST_CASE(what_has_not_left_of_a_request_that_is_given_up_is_dropped)
+BOOST_AUTO_TEST_CASE(a_cancelled_request_is_reset_without_sending_its_buffered_data)
 {
-    GivenUpLab lab;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.begin(requestText("/long/a", sLongBody));
-        lab.caller->close();
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
-        co_await lab.untilEnded();
-        BOOST_TEST((lab.replica.ends.front() == asio::error::connection_reset));
-        BOOST_TEST(lab.replica.bytes < sLongBody);
+    CancelFixture fixture;
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.sendRequest(requestText("/long/a", sLargeBodyBytes));
+        fixture.caller->close();
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
+        co_await fixture.waitForConnectionEnd();
+        BOOST_TEST((fixture.replica.ends.front() == asio::error::connection_reset));
+        BOOST_TEST(fixture.replica.bytes < sLargeBodyBytes);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_waits_for_its_answer_is_reset_when_it_is_given_up)
+BOOST_AUTO_TEST_CASE(cancelling_a_request_that_awaits_its_response_resets_the_connection)
 {
-    GivenUpLab lab;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.begin(requestText("/long/a", 0));
-        lab.caller->close();
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
-        co_await lab.untilEnded();
-        BOOST_TEST((lab.replica.ends.front() == asio::error::connection_reset));
+    CancelFixture fixture;
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.sendRequest(requestText("/long/a", 0));
+        fixture.caller->close();
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
+        co_await fixture.waitForConnectionEnd();
+        BOOST_TEST((fixture.replica.ends.front() == asio::error::connection_reset));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_is_given_up_is_reset)
+BOOST_AUTO_TEST_CASE(cancelling_a_stream_resets_the_connection)
 {
-    GivenUpLab lab("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-                   "Loomjunction-Response-Signature: s\r\nLoomjunction-Request-Id: id1\r\n"
-                   "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: e\n\n\r\n");
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.begin(requestText("/calm/a", 0));
+    CancelFixture fixture("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+                          "Loomjunction-Response-Signature: s\r\nLoomjunction-Request-Id: id1\r\n"
+                          "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: e\n\n\r\n");
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.sendRequest(requestText("/calm/a", 0));
         std::string read;
-        co_await asio::async_read_until(*lab.caller, asio::dynamic_buffer(read),
+        co_await asio::async_read_until(*fixture.caller, asio::dynamic_buffer(read),
                                         std::string("data: e"), sAsValue);
-        lab.caller->close();
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
-        co_await lab.untilEnded();
-        BOOST_TEST((lab.replica.ends.front() == asio::error::connection_reset));
+        fixture.caller->close();
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
+        co_await fixture.waitForConnectionEnd();
+        BOOST_TEST((fixture.replica.ends.front() == asio::error::connection_reset));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_whose_answer_is_whole_ends_in_the_ordinary_way)
+BOOST_AUTO_TEST_CASE(a_connection_is_closed_normally_after_a_complete_response)
 {
     // It may not be kept, so it is closed once the answer has been passed on.
-    GivenUpLab lab("HTTP/1.1 200 OK\r\nLoomjunction-Response-Signature: s\r\n"
-                   "Loomjunction-Request-Id: id1\r\nConnection: close\r\n"
-                   "Content-Length: 0\r\n\r\n");
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.begin(requestText("/long/a", 0));
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
-        co_await lab.untilEnded();
-        BOOST_TEST((lab.replica.ends.front() == asio::error::eof));
+    CancelFixture fixture("HTTP/1.1 200 OK\r\nLoomjunction-Response-Signature: s\r\n"
+                          "Loomjunction-Request-Id: id1\r\nConnection: close\r\n"
+                          "Content-Length: 0\r\n\r\n");
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.sendRequest(requestText("/long/a", 0));
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
+        co_await fixture.waitForConnectionEnd();
+        BOOST_TEST((fixture.replica.ends.front() == asio::error::eof));
     });
 }
--- a/tests/gateway/test_feeds.cpp
+++ b/tests/gateway/test_feeds.cpp
@@ -9,12 +9,12 @@
 #include <boost/test/unit_test.hpp>
 
 #include "clock.h"
-#include "directlab.h"
+#include "delayingproxy.h"
 #include "feedservice.h"
+#include "gatewayfixture.h"
 #include "peerconnection.h"
 #include "peerhub.h"
 #include "peerserver.h"
-#include "slowway.h"
 #include "wire.pb.h"
 
 #include <random>
@@ -150,9 +150,9 @@
     /** The follower ends its streams, reads its own store for a while and follows anew. */
     awaitable<void> leaveAndComeAgain()
     {
-        const int before = follower.store.reads;
+        const int before = follower.store.readCount;
         isFollowerItselfReading = true;
-        co_await waitFor([&] { return follower.store.reads >= before + 3; });
+        co_await waitFor([&] { return follower.store.readCount >= before + 3; });
         isFollowerItselfReading = false;
     }
 
@@ -180,7 +180,7 @@
 {
     RelayLab().run([](RelayLab &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
-        lab.reader.store.isAway = true;
+        lab.reader.store.isUnreachable = true;
         lab.follower.store.write(Feed::Replicas, "first", "value");
         lab.follower.store.write(Feed::Replicas, "own", "value");
         co_await lab.waitFor([&] { return lab.follower.hasHeard("own"); });
@@ -203,10 +203,10 @@
     RelayLab().run([](RelayLab &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         BOOST_TEST(lab.follower.isLastTrusted);
-        lab.reader.store.isAway = true;
+        lab.reader.store.isUnreachable = true;
         lab.reader.store.write(Feed::Members, "wakes the reads", "value");
         co_await lab.waitFor([&] { return !lab.reader.feeds().isStoreReached(Feed::Replicas); });
-        lab.reader.store.isAway = false;
+        lab.reader.store.isUnreachable = false;
         co_await lab.waitFor([&] { return lab.reader.feeds().isStoreReached(Feed::Replicas); });
         const std::size_t before = lab.follower.heard.size();
         lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
@@ -326,7 +326,7 @@
 {
     RelayLab().run([](RelayLab &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
-        const int before = lab.follower.store.fullReads;
+        const int before = lab.follower.store.fullReadCount;
         lab.reader.store.write(Feed::Replicas, "second", "value");
         co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
         // Both stores hold the same log; the reader is gone, and the way to the
@@ -334,12 +334,12 @@
         lab.follower.store.write(Feed::Replicas, "first", "value");
         lab.follower.store.write(Feed::Replicas, "second", "value");
         lab.reader.stop();
-        lab.follower.store.isAway = true;
+        lab.follower.store.isUnreachable = true;
         co_await lab.waitFor([&] { return !lab.follower.feeds().isStoreReached(Feed::Replicas); });
-        lab.follower.store.isAway = false;
+        lab.follower.store.isUnreachable = false;
         lab.follower.store.write(Feed::Replicas, "third", "value");
         co_await lab.waitFor([&] { return lab.follower.hasHeard("third"); });
-        BOOST_TEST(lab.follower.store.fullReads == before);
+        BOOST_TEST(lab.follower.store.fullReadCount == before);
         BOOST_TEST(std::ranges::count(lab.follower.heard, "second") == 1);
     });
 }
@@ -371,7 +371,7 @@
         const auto book
             = [&]() -> const RecordBook & { return lab.follower.feeds().book(Feed::Replicas); };
         co_await lab.leaveAndComeAgain();
-        lab.reader.store.hasForgotten = true; // the removal itself is not read
+        lab.reader.store.hasLostHistory = true; // the removal itself is not read
         lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
         co_await lab.waitFor([&] { return book().find("first") == nullptr; });
         BOOST_TEST(lab.follower.isLastTrusted);
@@ -508,21 +508,21 @@
 BOOST_AUTO_TEST_CASE(what_was_held_on_its_way_to_a_follower_is_not_fresh)
 {
     RelayLab lab;
-    const Milliseconds onTheWay{500};
-    SlowWay way(lab.context.get_executor(), lab.reader.address, onTheWay);
+    const Milliseconds responseDelay{500};
+    DelayingProxy way(lab.context.get_executor(), lab.reader.address, responseDelay);
     lab.followed = way.address();
     lab.run([&](RelayLab &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
-        lab.follower.store.isAway = true;
+        lab.follower.store.isUnreachable = true;
         const Instant lost = now();
         lab.reader.store.write(Feed::Replicas, "second", "value");
         co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
-        BOOST_TEST((*lab.follower.feeds().age(Feed::Replicas) >= onTheWay));
-        BOOST_TEST((lab.follower.lastAge >= onTheWay));
+        BOOST_TEST((*lab.follower.feeds().age(Feed::Replicas) >= responseDelay));
+        BOOST_TEST((lab.follower.lastAge >= responseDelay));
         // Later knowledge came over the same way, and does come.
         co_await lab.waitFor([&] {
             const Microseconds age = *lab.follower.feeds().age(Feed::Replicas);
-            BOOST_TEST((age >= onTheWay));
+            BOOST_TEST((age >= responseDelay));
             return now() - age > lost;
         });
     });
@@ -534,7 +534,7 @@
 BOOST_AUTO_TEST_CASE(an_update_that_is_arriving_is_no_silence)
 {
     RelayLab lab;
-    SlowWay way(lab.context.get_executor(), lab.reader.address, Milliseconds(400));
+    DelayingProxy way(lab.context.get_executor(), lab.reader.address, Milliseconds(400));
     lab.followed = way.address();
     std::mt19937 random(1);
     std::string text;
@@ -543,7 +543,7 @@
     }
     lab.run([&](RelayLab &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
-        lab.follower.store.isAway = true;
+        lab.follower.store.isUnreachable = true;
         lab.reader.store.write(Feed::Replicas, "long", text);
         co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
     });
@@ -555,7 +555,7 @@
 {
     asio::io_context context{1};
     FeedLab reader(context);
-    const Milliseconds onTheWay{1'400};
+    const Milliseconds responseDelay{1'400};
     // Most of a read's wait may have passed before the record came, but no more is known.
     const Milliseconds leastAge{900};
     const auto test = [&]() -> awaitable<void> {
@@ -564,7 +564,7 @@
         while (!reader.feeds().age(Feed::Replicas) && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        reader.store.onTheWay = onTheWay;
+        reader.store.responseDelay = responseDelay;
         reader.store.write(Feed::Replicas, "late", "value");
         while (!reader.hasHeard("late") && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
@@ -582,8 +582,8 @@
 {
     asio::io_context context{1};
     FeedLab reader(context);
-    const Milliseconds onTheWay{300};
-    reader.store.onTheWay = onTheWay;
+    const Milliseconds responseDelay{300};
+    reader.store.responseDelay = responseDelay;
     reader.store.write(Feed::Replicas, "first", "value");
     const auto test = [&]() -> awaitable<void> {
         reader.start();
@@ -594,7 +594,7 @@
                 reader.store.write(Feed::Replicas, "second", "value");
             }
             const auto age = reader.feeds().age(Feed::Replicas);
-            BOOST_TEST((!age || *age >= onTheWay));
+            BOOST_TEST((!age || *age >= responseDelay));
             seen += age ? 1 : 0;
             co_await sleepFor(std::chrono::milliseconds(5));
         }
@@ -626,10 +626,10 @@
             BOOST_TEST(condition());
         };
         co_await waitFor([&] { return reader.feeds().age(Feed::Replicas).has_value(); });
-        reader.store.isAway = true;
+        reader.store.isUnreachable = true;
         co_await waitFor([&] { return *reader.feeds().age(Feed::Replicas) >= outage; });
         reader.store.write(Feed::Replicas, "first", "value");
-        reader.store.isAway = false;
+        reader.store.isUnreachable = false;
         co_await waitFor([&] { return reader.hasHeard("first"); });
         BOOST_TEST((reader.lastAge >= outage - longestRead));
         reader.stop();
@@ -645,7 +645,7 @@
 {
     asio::io_context context{1};
     FeedLab reader(context);
-    reader.store.mostAtOnce = 1;
+    reader.store.maxRecordsPerRead = 1;
     const auto test = [&]() -> awaitable<void> {
         reader.start();
         const auto until = std::chrono::steady_clock::now() + sGenerous;
--- a/tests/gateway/test_gateway.cpp
+++ b/tests/gateway/test_gateway.cpp
@@ -9,7 +9,7 @@
 #define BOOST_TEST_MODULE gateway
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "streamtext.h"
 
 using namespace Loom;
@@ -23,12 +23,12 @@
         + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-ScriptedReplica::Answer good(const std::string &head)
+ScriptedReplica::Answer succeeds(const std::string &head)
 {
     return {answer(requestIdOf(head), 200, "whole"), false};
 }
 
-ScriptedReplica::Answer breaksOff(const std::string &)
+ScriptedReplica::Answer closesConnection(const std::string &)
 {
     return {"", true};
 }
@@ -38,47 +38,47 @@
     return {answer(requestIdOf(head), 503, "", "Loomjunction-Not-Executed: 1\r\n"), false};
 }
 
-ScriptedReplica::Answer staysSilent(const std::string &)
+ScriptedReplica::Answer neverAnswers(const std::string &)
 {
     return {"", false};
 }
 
-ScriptedReplica::Answer streamsTwo(const std::string &head)
+ScriptedReplica::Answer streamsTwoEvents(const std::string &head)
 {
     return {streamHead(requestIdOf(head)) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n", false};
 }
 
-void setWeightsTime(DirectLab &lab, Milliseconds time)
+void setWeightsGracePeriod(GatewayFixture &fixture, Milliseconds time)
 {
     DirectBounds bounds;
     bounds.weightsTime = time;
-    lab.config().setBounds(bounds);
+    fixture.config().setBounds(bounds);
 }
 
 /** Names newer weights than those of the first replicas, once these have requests. */
-awaitable<void> nameNewer(DirectLab &lab)
+awaitable<void> publishNewerWeights(GatewayFixture &fixture)
 {
-    lab.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
-    co_await lab.waitFor([&lab] { return lab.config().weights().newest("m") == 2; });
+    fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
+    co_await fixture.waitFor([&fixture] { return fixture.config().weights().newest("m") == 2; });
 }
 
-awaitable<void> untilReady(DirectLab &lab, std::size_t replicas)
+awaitable<void> waitUntilReady(GatewayFixture &fixture, std::size_t replicas)
 {
-    co_await lab.waitFor([&lab, replicas] {
-        return lab.front().isReady() && lab.replicas().replicas().all().size() == replicas;
+    co_await fixture.waitFor([&fixture, replicas] {
+        return fixture.front().isReady() && fixture.replicas().replicas().all().size() == replicas;
     });
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_request_reaches_a_replica_and_its_answer_comes_back_whole)
+BOOST_AUTO_TEST_CASE(a_request_is_forwarded_to_a_replica_and_its_response_returned)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "plain", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        const auto response = co_await lab.call("POST", "/once/a", "id1");
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->body == "whole");
         BOOST_TEST(response->header("Loomjunction-Response-Signature") == "s");
@@ -89,32 +89,33 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_may_run_once_is_never_sent_again_after_an_unknown_end)
+BOOST_AUTO_TEST_CASE(an_unsafe_request_is_not_retried_after_an_unknown_outcome)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &first = lab.addReplica("i-1", "plain", breaksOff);
-    ScriptedReplica &second = lab.addReplica("i-2", "plain", breaksOff);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 2);
-        const auto response = co_await lab.call("POST", "/once/a", "id1");
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &first = fixture.addReplica("i-1", "plain", closesConnection);
+    ScriptedReplica &second = fixture.addReplica("i-2", "plain", closesConnection);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 2);
+        const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 502);
         BOOST_TEST(first.requests() + second.requests() == 1);
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_may_be_repeated_goes_to_another_replica)
+BOOST_AUTO_TEST_CASE(a_safe_request_is_retried_at_another_replica)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     int sends = 0;
-    const auto firstBreaks
-        = [&](const std::string &head) { return ++sends == 1 ? breaksOff(head) : good(head); };
-    ScriptedReplica &first = lab.addReplica("i-1", "plain", firstBreaks);
-    ScriptedReplica &second = lab.addReplica("i-2", "plain", firstBreaks);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 2);
-        const auto response = co_await lab.call("GET", "/safe/a", "id1");
+    const auto firstBreaks = [&](const std::string &head) {
+        return ++sends == 1 ? closesConnection(head) : succeeds(head);
+    };
+    ScriptedReplica &first = fixture.addReplica("i-1", "plain", firstBreaks);
+    ScriptedReplica &second = fixture.addReplica("i-2", "plain", firstBreaks);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 2);
+        const auto response = co_await fixture.call("GET", "/safe/a", "id1");
         BOOST_TEST(response->status == 200);
         BOOST_TEST(first.requests() == 1);
         BOOST_TEST(second.requests() == 1);
@@ -124,21 +125,22 @@
 // The gateway gave its metrics names with the prefix and suffix that are added to every
 // name when they are shown. So /metrics showed loom_loom_calls_total_total where the
 // operators' pages name loom_calls_total, and whoever asked for that found nothing.
-BOOST_AUTO_TEST_CASE(metrics_are_shown_under_the_names_of_the_operators_pages)
+BOOST_AUTO_TEST_CASE(metrics_are_exposed_under_their_documented_names)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     int sends = 0;
-    const auto firstBreaks
-        = [&](const std::string &head) { return ++sends == 1 ? breaksOff(head) : good(head); };
-    lab.addReplica("i-1", "plain", firstBreaks);
-    lab.addReplica("i-2", "plain", firstBreaks);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 2);
-        const auto response = co_await lab.call("GET", "/safe/a", "id1");
+    const auto firstBreaks = [&](const std::string &head) {
+        return ++sends == 1 ? closesConnection(head) : succeeds(head);
+    };
+    fixture.addReplica("i-1", "plain", firstBreaks);
+    fixture.addReplica("i-2", "plain", firstBreaks);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 2);
+        const auto response = co_await fixture.call("GET", "/safe/a", "id1");
         BOOST_TEST(response->status == 200);
     });
-    const std::string text = "\n" + lab.metrics().text();
+    const std::string text = "\n" + fixture.metrics().text();
     BOOST_TEST_MESSAGE(text);
     const std::array shown{
         "\nloom_calls_total{of=\"answered\"} 1\n",
@@ -154,15 +156,15 @@
     BOOST_TEST(text.find("_total_total") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_is_passed_on_as_one_with_when_to_come_back)
+BOOST_AUTO_TEST_CASE(a_refusal_is_returned_with_a_retry_after_header)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &first = lab.addReplica("i-1", "plain", refuses);
-    ScriptedReplica &second = lab.addReplica("i-2", "plain", refuses);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 2);
-        const auto response = co_await lab.call("POST", "/once/a", "id1");
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &first = fixture.addReplica("i-1", "plain", refuses);
+    ScriptedReplica &second = fixture.addReplica("i-2", "plain", refuses);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 2);
+        const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 503);
         BOOST_TEST(!response->header("Retry-After").empty());
         // It ran nowhere, so another replica was asked; the route allows two.
@@ -171,40 +173,40 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_to_another_request_is_never_given_out)
+BOOST_AUTO_TEST_CASE(a_response_to_another_request_is_never_forwarded)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.addReplica("i-1", "plain", [](const std::string &head) {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.addReplica("i-1", "plain", [](const std::string &head) {
         const std::string stale = answer("older", 200, "not yours");
         return ScriptedReplica::Answer{stale + answer(requestIdOf(head), 200, "yours"), false};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        const auto response = co_await lab.call("POST", "/once/a", "id1");
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->body == "yours");
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_success_without_its_signature_is_no_success)
+BOOST_AUTO_TEST_CASE(a_successful_response_without_a_signature_is_rejected)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.addReplica("i-1", "plain", [](const std::string &head) {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.addReplica("i-1", "plain", [](const std::string &head) {
         return ScriptedReplica::Answer{answer(requestIdOf(head), 200, "whole", ""), false};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        const auto response = co_await lab.call("POST", "/once/a", "id1");
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 502);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_broken_stream_goes_on_at_another_replica_without_a_gap_or_a_repeat)
+BOOST_AUTO_TEST_CASE(a_broken_stream_resumes_at_another_replica_without_gaps_or_duplicates)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     int sends = 0;
     const auto script = [&](const std::string &head) -> ScriptedReplica::Answer {
         const std::string begin = streamHead(requestIdOf(head));
@@ -215,87 +217,87 @@
         BOOST_TEST(head.find("Last-Event-Id: 2") != std::string::npos);
         return {begin + chunk(event(2)) + chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n", false};
     };
-    lab.addReplica("i-1", "plain", script);
-    lab.addReplica("i-2", "plain", script);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 2);
-        const auto response = co_await lab.call("POST", "/stream/a", "id1");
+    fixture.addReplica("i-1", "plain", script);
+    fixture.addReplica("i-2", "plain", script);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 2);
+        const auto response = co_await fixture.call("POST", "/stream/a", "id1");
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->body == event(1) + event(2) + event(3) + event(4));
         BOOST_TEST(sends == 2);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_cannot_go_on_never_looks_whole)
+BOOST_AUTO_TEST_CASE(a_stream_that_cannot_be_resumed_is_cut_off)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.addReplica("i-1", "plain", [](const std::string &head) {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.addReplica("i-1", "plain", [](const std::string &head) {
         return ScriptedReplica::Answer{streamHead(requestIdOf(head)) + chunk(event(1)), true};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        const auto response = co_await lab.call("POST", "/stream/a", "id1");
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        const auto response = co_await fixture.call("POST", "/stream/a", "id1");
         BOOST_TEST(!response.has_value());
         BOOST_TEST((response.error().failure == HttpFailure::Cut));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_replica_is_given_up_at_the_routes_time)
+BOOST_AUTO_TEST_CASE(a_silent_replica_is_abandoned_at_the_route_timeout)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "plain", [](const std::string &) {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "plain", [](const std::string &) {
         return ScriptedReplica::Answer{"", false};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        const auto response = co_await lab.call("GET", "/brief/a", "id1");
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        const auto response = co_await fixture.call("GET", "/brief/a", "id1");
         BOOST_TEST(response->status == 504);
         // The replica hears of it, too.
-        co_await lab.waitFor([&] { return replica.closed() == 1; });
+        co_await fixture.waitFor([&] { return replica.closed() == 1; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_caller_ends_the_work_at_the_replica)
+BOOST_AUTO_TEST_CASE(a_caller_disconnect_cancels_the_request_at_the_replica)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "plain", [](const std::string &) {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "plain", [](const std::string &) {
         return ScriptedReplica::Answer{"", false};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        const Tcp::endpoint address = lab.front().localEndpoint();
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        const Tcp::endpoint address = fixture.front().localEndpoint();
         auto caller = co_await connectWithin(address, std::chrono::seconds(5));
         // Nothing but the caller's leaving can end it while this test waits.
         const std::string request = "POST /long/a HTTP/1.1\r\nHost: h\r\n"
                                     "Loomjunction-Request-Id: id1\r\n"
                                     "Authorization: Token k\r\nContent-Length: 0\r\n\r\n";
         co_await asio::async_write(*caller, asio::buffer(request), sAsValue);
-        co_await lab.waitFor([&] { return replica.requests() == 1; });
+        co_await fixture.waitFor([&] { return replica.requests() == 1; });
         caller->close();
-        co_await lab.waitFor([&] { return replica.closed() == 1; });
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
+        co_await fixture.waitFor([&] { return replica.closed() == 1; });
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_left_before_its_request_was_read_costs_no_replica_anything)
+BOOST_AUTO_TEST_CASE(a_request_whose_caller_disconnected_before_it_was_read_is_not_forwarded)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "plain", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
         // Leaves a kept connection, so that the way to the replica takes no time.
-        const auto first = co_await lab.call("POST", "/once/a", "first");
+        const auto first = co_await fixture.call("POST", "/once/a", "first");
         BOOST_REQUIRE(first);
         // The gateway stands still while these come and go.
         constexpr int callers = 5;
         for (int caller = 0; caller < callers; ++caller) {
             asio::io_context own{1};
             Tcp::socket socket(own);
-            socket.connect(lab.front().localEndpoint());
+            socket.connect(fixture.front().localEndpoint());
             const std::string request = "POST /once/a HTTP/1.1\r\nHost: h\r\n"
                                         "Loomjunction-Request-Id: gone\r\n"
                                         "Authorization: Token k\r\nContent-Length: 0\r\n\r\n";
@@ -304,31 +306,32 @@
             socket.close();
         }
         // Accepted after those, so it is answered after them.
-        const auto after = co_await lab.call("POST", "/once/a", "after");
+        const auto after = co_await fixture.call("POST", "/once/a", "after");
         BOOST_REQUIRE(after);
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
         BOOST_TEST(replica.requests() == 2);
     });
 }
 
-BOOST_AUTO_TEST_CASE(routes_and_keys_are_judged_by_the_configuration_in_force)
+BOOST_AUTO_TEST_CASE(routes_and_keys_are_checked_against_the_current_configuration)
 {
-    DirectLab lab;
-    lab.addReplica("i-1", "plain", good);
-    lab.run([&]() -> awaitable<void> {
+    GatewayFixture fixture;
+    fixture.addReplica("i-1", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
         // Nothing is known yet: that is no reason to say that a route does not exist.
-        const auto early = co_await lab.call("POST", "/once/a", "id1");
+        const auto early = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(early->status == 503);
-        lab.writeConfig(5);
-        co_await untilReady(lab, 1);
-        const auto missing = co_await lab.call("POST", "/nowhere/a", "id2");
+        fixture.writeConfig(5);
+        co_await waitUntilReady(fixture, 1);
+        const auto missing = co_await fixture.call("POST", "/nowhere/a", "id2");
         BOOST_TEST(missing->status == 404);
-        lab.writeConfig(4); // an older one that comes late
-        co_await lab.waitFor([&] { return lab.feeds().book(Feed::Operators).nextOffset() == 2; });
-        BOOST_TEST(lab.config().table()->version() == 5U);
-        lab.writeConfig(6);
-        co_await lab.waitFor([&] { return lab.config().table()->version() == 6; });
-        const auto fine = co_await lab.call("POST", "/once/a", "id3");
+        fixture.writeConfig(4); // an older one that comes late
+        co_await fixture.waitFor(
+            [&] { return fixture.feeds().book(Feed::Operators).nextOffset() == 2; });
+        BOOST_TEST(fixture.config().table()->version() == 5U);
+        fixture.writeConfig(6);
+        co_await fixture.waitFor([&] { return fixture.config().table()->version() == 6; });
+        const auto fine = co_await fixture.call("POST", "/once/a", "id3");
         BOOST_TEST(fine->status == 200);
     });
 }
@@ -337,31 +340,31 @@
 // accepted 3.007 s before, where 3.0 s are allowed. They counted knowledge as old after
 // 3 s on every deployment, also where 2 s are allowed. Whoever may not know the newest
 // configuration says that the caller should come back.
-BOOST_AUTO_TEST_CASE(knowledge_older_than_the_deployments_bound_refuses_nothing_for_good)
+BOOST_AUTO_TEST_CASE(a_stale_configuration_causes_no_permanent_errors)
 {
     for (const Milliseconds bound : {Milliseconds(1'000), Milliseconds(2'000)}) {
-        DirectLab lab;
-        lab.writeConfig(1);
-        lab.addReplica("i-1", "plain", good);
-        lab.run([&]() -> awaitable<void> {
-            co_await untilReady(lab, 1);
-            lab.store.isAway = true;
-            co_await lab.waitFor([&] { return *lab.feeds().age(Feed::Operators) > bound; });
+        GatewayFixture fixture;
+        fixture.writeConfig(1);
+        fixture.addReplica("i-1", "plain", succeeds);
+        fixture.run([&]() -> awaitable<void> {
+            co_await waitUntilReady(fixture, 1);
+            fixture.store.isUnreachable = true;
+            co_await fixture.waitFor([&] { return *fixture.feeds().age(Feed::Operators) > bound; });
             DirectBounds bounds;
             bounds.configTime = bound;
-            lab.config().setBounds(bounds);
-            auto missing = co_await lab.call("POST", "/nowhere/a", "id1");
+            fixture.config().setBounds(bounds);
+            auto missing = co_await fixture.call("POST", "/nowhere/a", "id1");
             BOOST_TEST(missing->status == 503);
-            auto unknown = co_await lab.call("POST", "/once/a", "id2", "other");
+            auto unknown = co_await fixture.call("POST", "/once/a", "id2", "other");
             BOOST_TEST(unknown->status == 503);
-            const auto known = co_await lab.call("POST", "/once/a", "id3");
+            const auto known = co_await fixture.call("POST", "/once/a", "id3");
             BOOST_TEST(known->status == 200);
             // The same knowledge is fresh enough where much more is allowed.
             bounds.configTime = Milliseconds(600'000);
-            lab.config().setBounds(bounds);
-            missing = co_await lab.call("POST", "/nowhere/a", "id4");
+            fixture.config().setBounds(bounds);
+            missing = co_await fixture.call("POST", "/nowhere/a", "id4");
             BOOST_TEST(missing->status == 404);
-            unknown = co_await lab.call("POST", "/once/a", "id5", "other");
+            unknown = co_await fixture.call("POST", "/once/a", "id5", "other");
             BOOST_TEST(unknown->status == 401);
         });
     }
@@ -369,50 +372,51 @@
 
 // Where all is well, knowledge must stay younger than the bound, however short that is:
 // a store that nothing is written to answers after the wait that it was asked for.
-BOOST_AUTO_TEST_CASE(a_quiet_store_is_asked_often_enough_for_a_short_bound)
+BOOST_AUTO_TEST_CASE(an_idle_store_is_polled_often_enough_for_a_short_configuration_age_limit)
 {
     const Milliseconds bound{1'200};
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.run([&]() -> awaitable<void> {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.run([&]() -> awaitable<void> {
         DirectBounds bounds;
         bounds.configTime = bound;
-        lab.config().setBounds(bounds);
-        const auto &waits = lab.store.waits[static_cast<std::size_t>(Feed::Operators)];
-        const std::size_t before = waits.size();
-        co_await lab.waitFor([&] { return waits.size() >= before + 3; });
-        BOOST_TEST((waits.back() <= bound / 2));
+        fixture.config().setBounds(bounds);
+        const auto &requestedWaits
+            = fixture.store.requestedWaits[static_cast<std::size_t>(Feed::Operators)];
+        const std::size_t before = requestedWaits.size();
+        co_await fixture.waitFor([&] { return requestedWaits.size() >= before + 3; });
+        BOOST_TEST((requestedWaits.back() <= bound / 2));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_request_for_older_weights_is_given_no_more_time_than_they_have)
+BOOST_AUTO_TEST_CASE(a_request_for_older_weights_gets_a_deadline_before_they_expire)
 {
     constexpr int weightsMs = 6'000; // the caller waits as long
-    DirectLab lab;
-    lab.writeConfig(1);
-    const ScriptedReplica &replica
-        = lab.addReplica("i-1", "engine", [](const std::string &head) -> ScriptedReplica::Answer {
-              return {streamHead(requestIdOf(head)) + chunk(event(1)) + "0\r\n\r\n", false};
-          });
-    const auto handedMs = [&replica] {
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    const ScriptedReplica &replica = fixture.addReplica(
+        "i-1", "engine", [](const std::string &head) -> ScriptedReplica::Answer {
+            return {streamHead(requestIdOf(head)) + chunk(event(1)) + "0\r\n\r\n", false};
+        });
+    const auto forwardedDeadlineMs = [&replica] {
         constexpr std::string_view name = "Loomjunction-Deadline-Ms: ";
         const std::string &head = replica.heads().back();
         return std::stoi(head.substr(head.find(name) + name.size()));
     };
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        auto response = co_await lab.call("POST", "/model/a", "id1");
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        auto response = co_await fixture.call("POST", "/model/a", "id1");
         BOOST_TEST(response->status == 200);
-        const int before = handedMs();
+        const int before = forwardedDeadlineMs();
         DirectBounds bounds;
         bounds.weightsTime = Milliseconds(weightsMs);
-        lab.config().setBounds(bounds);
-        lab.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
-        co_await lab.waitFor([&] { return lab.config().weights().newest("m") == 2; });
-        response = co_await lab.call("POST", "/model/a", "id2");
+        fixture.config().setBounds(bounds);
+        fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
+        co_await fixture.waitFor([&] { return fixture.config().weights().newest("m") == 2; });
+        response = co_await fixture.call("POST", "/model/a", "id2");
         BOOST_TEST(response->status == 200);
-        BOOST_TEST(handedMs() < weightsMs - 300);
-        BOOST_TEST(handedMs() < before);
+        BOOST_TEST(forwardedDeadlineMs() < weightsMs - 300);
+        BOOST_TEST(forwardedDeadlineMs() < before);
     });
 }
 
@@ -421,31 +425,31 @@
 // request is sent with counts from its arrival, so nothing ended them on the way, nor
 // would anything end one whose replica stands still, or that was sent before the newer
 // weights were named.
-BOOST_AUTO_TEST_CASE(what_has_not_begun_when_its_weights_are_over_goes_on_at_another_replica)
-{
-    DirectLab lab;
-    lab.writeConfig(1);
-    const ScriptedReplica &older = lab.addReplica("i-1", "engine", staysSilent);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        setWeightsTime(lab, Milliseconds(2'000));
+BOOST_AUTO_TEST_CASE(a_request_not_started_when_its_weights_expire_moves_to_another_replica)
+{
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    const ScriptedReplica &older = fixture.addReplica("i-1", "engine", neverAnswers);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        setWeightsGracePeriod(fixture, Milliseconds(2'000));
         int closedBefore = 0;
         const ScriptedReplica *newer = nullptr;
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
-                co_await lab.waitFor([&] { return older.requests() == 1; });
-                co_await nameNewer(lab);
-                newer = &lab.addReplica(
+                co_await fixture.waitFor([&] { return older.requests() == 1; });
+                co_await publishNewerWeights(fixture);
+                newer = &fixture.addReplica(
                     "i-2", "engine",
                     [&](const std::string &head) {
                         closedBefore = older.closed();
-                        return streamsTwo(head);
+                        return streamsTwoEvents(head);
                     },
                     2);
             },
             asio::detached);
-        const auto response = co_await lab.call("POST", "/patient/a", "id1");
+        const auto response = co_await fixture.call("POST", "/patient/a", "id1");
         BOOST_REQUIRE(response);
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->body == event(1) + event(2));
@@ -454,59 +458,59 @@
         // The replica had heard that the request was given up before another got it.
         BOOST_TEST(closedBefore == 1);
         // Nothing that it did ended the request.
-        BOOST_TEST(lab.replicas().replicas().find("i-1")->failures == 0U);
-        BOOST_TEST(lab.replicas().replicas().find("i-1")->failureRate == 0);
+        BOOST_TEST(fixture.replicas().replicas().find("i-1")->failures == 0U);
+        BOOST_TEST(fixture.replicas().replicas().find("i-1")->failureRate == 0);
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_may_run_once_has_an_unknown_end_when_its_weights_are_over)
+BOOST_AUTO_TEST_CASE(an_unsafe_request_has_an_unknown_outcome_when_its_weights_expire)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    const ScriptedReplica &older = lab.addReplica("i-1", "engine", staysSilent);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        setWeightsTime(lab, Milliseconds(2'000));
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    const ScriptedReplica &older = fixture.addReplica("i-1", "engine", neverAnswers);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        setWeightsGracePeriod(fixture, Milliseconds(2'000));
         const ScriptedReplica *newer = nullptr;
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
-                co_await lab.waitFor([&] { return older.requests() == 1; });
-                co_await nameNewer(lab);
-                newer = &lab.addReplica("i-2", "engine", good, 2);
+                co_await fixture.waitFor([&] { return older.requests() == 1; });
+                co_await publishNewerWeights(fixture);
+                newer = &fixture.addReplica("i-2", "engine", succeeds, 2);
             },
             asio::detached);
-        const auto response = co_await lab.call("POST", "/judge/a", "id1");
+        const auto response = co_await fixture.call("POST", "/judge/a", "id1");
         BOOST_REQUIRE(response);
         BOOST_TEST(response->status == 502);
         BOOST_REQUIRE(newer != nullptr);
         BOOST_TEST(newer->requests() == 0);
-        co_await lab.waitFor([&] { return older.closed() == 1; });
+        co_await fixture.waitFor([&] { return older.closed() == 1; });
     });
 }
 
 // A process may stand still, or wait for a connection, between the choice of a replica and
 // the sending.
-BOOST_AUTO_TEST_CASE(what_was_not_sent_before_its_weights_were_over_ran_nowhere)
-{
-    DirectLab lab;
-    lab.writeConfig(1);
-    const ScriptedReplica &older = lab.addReplica("i-1", "engine", staysSilent);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        setWeightsTime(lab, std::chrono::hours(1));
-        co_await nameNewer(lab);
+BOOST_AUTO_TEST_CASE(a_request_not_sent_before_its_weights_expire_is_refused)
+{
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    const ScriptedReplica &older = fixture.addReplica("i-1", "engine", neverAnswers);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        setWeightsGracePeriod(fixture, std::chrono::hours(1));
+        co_await publishNewerWeights(fixture);
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
                 // The replica is chosen, the connection to it is being made.
-                while (lab.replicas().replicas().find("i-1")->inFlight == 0) {
-                    co_await asio::post(lab.context, sAsValue);
+                while (fixture.replicas().replicas().find("i-1")->inFlight == 0) {
+                    co_await asio::post(fixture.context, sAsValue);
                 }
-                setWeightsTime(lab, Milliseconds(0));
+                setWeightsGracePeriod(fixture, Milliseconds(0));
             },
             asio::detached);
-        const auto response = co_await lab.call("POST", "/judge/a", "id1");
+        const auto response = co_await fixture.call("POST", "/judge/a", "id1");
         BOOST_REQUIRE(response);
         BOOST_TEST(response->status == 503);
         BOOST_TEST(!response->header("Retry-After").empty());
@@ -514,30 +518,31 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(what_has_begun_goes_on_after_its_weights_are_over)
+BOOST_AUTO_TEST_CASE(a_started_stream_continues_after_its_weights_expire)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     const auto isOver = [&] {
-        const auto over = lab.config().weights().overAt("m", 1);
+        const auto over = fixture.config().weights().overAt("m", 1);
         return over && now() > *over;
     };
-    const ScriptedReplica &older = lab.addReplica("i-1", "engine", [&](const std::string &head) {
-        const std::string begin = streamHead(requestIdOf(head)) + chunk(event(1));
-        const std::string rest = chunk(event(2)) + "0\r\n\r\n";
-        return ScriptedReplica::Answer{begin, false, [&] { return !isOver(); }, rest};
-    });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
-        setWeightsTime(lab, Milliseconds(1'600));
+    const ScriptedReplica &older
+        = fixture.addReplica("i-1", "engine", [&](const std::string &head) {
+              const std::string begin = streamHead(requestIdOf(head)) + chunk(event(1));
+              const std::string rest = chunk(event(2)) + "0\r\n\r\n";
+              return ScriptedReplica::Answer{begin, false, [&] { return !isOver(); }, rest};
+          });
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
+        setWeightsGracePeriod(fixture, Milliseconds(1'600));
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
-                co_await lab.waitFor([&] { return older.requests() == 1; });
-                co_await nameNewer(lab);
+                co_await fixture.waitFor([&] { return older.requests() == 1; });
+                co_await publishNewerWeights(fixture);
             },
             asio::detached);
-        const auto response = co_await lab.call("POST", "/patient/a", "id1");
+        const auto response = co_await fixture.call("POST", "/patient/a", "id1");
         BOOST_REQUIRE(response);
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->body == event(1) + event(2));
@@ -546,23 +551,23 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_draining_replica_gets_nothing_and_a_forgotten_history_is_read_anew)
-{
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &leaving = lab.addReplica("i-1", "plain", good);
-    ScriptedReplica &staying = lab.addReplica("i-2", "plain", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 2);
-        lab.store.hasForgotten = true;
-        lab.store.write(Feed::Replicas, "i-1",
-                        R"({"service":"plain","address":")" + leaving.address()
-                            + R"(","zone":"z1","slots":4,"state":"draining"})");
-        co_await lab.waitFor(
-            [&] { return lab.replicas().replicas().find("i-1")->record.isDraining; });
+BOOST_AUTO_TEST_CASE(a_draining_replica_gets_no_requests_after_the_store_lost_its_history)
+{
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &leaving = fixture.addReplica("i-1", "plain", succeeds);
+    ScriptedReplica &staying = fixture.addReplica("i-2", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 2);
+        fixture.store.hasLostHistory = true;
+        fixture.store.write(Feed::Replicas, "i-1",
+                            R"({"service":"plain","address":")" + leaving.address()
+                                + R"(","zone":"z1","slots":4,"state":"draining"})");
+        co_await fixture.waitFor(
+            [&] { return fixture.replicas().replicas().find("i-1")->record.isDraining; });
         for (int call = 0; call < 5; ++call) {
             const std::string id = "id" + std::to_string(call);
-            const auto response = co_await lab.call("POST", "/once/a", id);
+            const auto response = co_await fixture.call("POST", "/once/a", id);
             BOOST_TEST(response->status == 200);
         }
         BOOST_TEST(leaving.requests() == 0);
@@ -570,47 +575,47 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_stop_answers_what_is_under_way_and_closes_its_connections)
+BOOST_AUTO_TEST_CASE(a_stopping_gateway_serves_requests_and_later_refuses_new_ones)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.addReplica("i-1", "plain", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab, 1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.addReplica("i-1", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture, 1);
         bool hasDrained = false;
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
-                co_await lab.front().drain();
+                co_await fixture.front().drain();
                 hasDrained = true;
             },
             asio::detached);
-        co_await lab.waitFor([&] { return lab.front().isLeaving(); });
-        BOOST_TEST(!lab.front().isReady());
+        co_await fixture.waitFor([&] { return fixture.front().isLeaving(); });
+        BOOST_TEST(!fixture.front().isReady());
         // Callers that have not heard of it yet are still served.
-        const auto response = co_await lab.call("POST", "/once/a", "id1");
+        const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->header("Connection") == "close");
         // Later ones could not end before the stop: they ran nowhere.
-        co_await lab.waitFor([&] { return lab.front().refusesNew(); });
-        const auto late = co_await lab.call("POST", "/once/a", "id2");
+        co_await fixture.waitFor([&] { return fixture.front().refusesNewRequests(); });
+        const auto late = co_await fixture.call("POST", "/once/a", "id2");
         BOOST_TEST((!late || late->status == 503));
-        co_await lab.waitFor([&] { return hasDrained; });
+        co_await fixture.waitFor([&] { return hasDrained; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(weights_that_are_named_before_any_configuration_end_nothing)
+BOOST_AUTO_TEST_CASE(weights_announced_before_any_configuration_are_harmless)
 {
-    DirectLab lab;
-    lab.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
-    lab.addReplica("i-1", "plain", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.waitFor([&] { return lab.config().weights().newest("m") == 2; });
-        const auto early = co_await lab.call("POST", "/once/a", "id1");
+    GatewayFixture fixture;
+    fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
+    fixture.addReplica("i-1", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitFor([&] { return fixture.config().weights().newest("m") == 2; });
+        const auto early = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(early->status == 503);
-        lab.writeConfig(1);
-        co_await untilReady(lab, 1);
-        const auto response = co_await lab.call("POST", "/once/a", "id2");
+        fixture.writeConfig(1);
+        co_await waitUntilReady(fixture, 1);
+        const auto response = co_await fixture.call("POST", "/once/a", "id2");
         BOOST_TEST(response->status == 200);
     });
 }
--- a/tests/gateway/test_leaving.cpp
+++ b/tests/gateway/test_leaving.cpp
@@ -51,7 +51,7 @@
 }
 
 /** A gateway and callers whose connections the test holds. */
-class LeavingLab : public DirectLab
+class LeavingLab : public GatewayFixture
 {
 public:
     LeavingLab() { writeConfig(1); }
--- a/tests/gateway/test_namedlimits.cpp
+++ b/tests/gateway/test_namedlimits.cpp
@@ -8,7 +8,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 
 using namespace Loom;
 
@@ -49,7 +49,7 @@
         return lab.replicas().replicas().find("i-1")->limit.perSecond();
     }
 
-    DirectLab lab;
+    GatewayFixture lab;
     ScriptedReplica &replica = lab.addReplica("i-1", "plain", [this](const std::string &head) {
         return ScriptedReplica::Answer{"HTTP/1.1 " + mStatus
                                            + "\r\nLoomjunction-Response-Signature: s\r\n"
--- a/tests/gateway/test_peerhub.cpp
+++ b/tests/gateway/test_peerhub.cpp
@@ -8,7 +8,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "peerhub.h"
 #include "wire.pb.h"
 
@@ -52,7 +52,7 @@
         + std::string(dataCentre) + R"(","incarnation":1})";
 }
 
-PeerPlace placeOf(DirectLab &lab, std::string_view address)
+PeerPlace placeOf(GatewayFixture &lab, std::string_view address)
 {
     return lab.members().placeOf(*parseEndpoint(address));
 }
@@ -116,7 +116,7 @@
 
 BOOST_AUTO_TEST_CASE(the_place_of_a_process_is_known_by_the_members_on_its_machine)
 {
-    DirectLab lab;
+    GatewayFixture lab;
     const auto write = [&](const std::string &address, std::string_view dataCentre) {
         lab.store.write(Feed::Members, address, member(address, dataCentre));
     };
--- a/tests/notices/test_notices.cpp
+++ b/tests/notices/test_notices.cpp
@@ -9,7 +9,7 @@
 #define BOOST_TEST_MODULE notices
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "streamtext.h"
 
 #include <deque>
@@ -81,7 +81,7 @@
 }
 
 /** Two replicas; one of them says something of itself in its answers while it is told to. */
-class SayingLab : public DirectLab
+class SayingLab : public GatewayFixture
 {
 public:
     explicit SayingLab(const Saying &saying)
@@ -144,7 +144,7 @@
         SayingLab lab(saying);
         lab.run([&]() -> awaitable<void> {
             co_await lab.untilReady();
-            lab.store.isAway = true;
+            lab.store.isUnreachable = true;
             co_await lab.untilSaid();
             co_await sleepFor(sAfterPauses);
             for (int call = 0; call < sCalls; ++call) {
@@ -186,7 +186,7 @@
     const ReplicaNotice leaves{true, std::nullopt, {}};
     const ReplicaNotice rests{false, Microseconds(sRest), {}};
     for (const ReplicaNotice &notice : {leaves, rests}) {
-        DirectLab lab;
+        GatewayFixture lab;
         lab.writeConfig(1);
         ScriptedReplica &replica = lab.addReplica("i-1", "plain", good);
         lab.run([&]() -> awaitable<void> {
@@ -239,7 +239,7 @@
 
 BOOST_AUTO_TEST_CASE(callers_are_told_to_come_back_while_all_replicas_rest)
 {
-    DirectLab lab;
+    GatewayFixture lab;
     lab.writeConfig(1);
     const auto refuses = [](const std::string &head) {
         return Answer{headOf(503, head, sNotExecuted + sAsksForRest + sNoBody)};
@@ -280,7 +280,7 @@
 
 BOOST_AUTO_TEST_CASE(the_end_of_a_replica_that_said_it_leaves_counts_as_a_crash)
 {
-    DirectLab lab;
+    GatewayFixture lab;
     lab.writeConfig(1);
     ScriptedReplica *replica = nullptr;
     replica = &lab.addReplica("i-1", "plain", [&](const std::string &head) {
--- a/tests/suspended/test_suspended.cpp
+++ b/tests/suspended/test_suspended.cpp
@@ -15,32 +15,32 @@
 #include <boost/test/unit_test.hpp>
 
 #include "bootclock.h"
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "loopwatch.h"
 
 using namespace Loom;
 
 namespace {
 
-std::chrono::nanoseconds sSlept{0};
+std::chrono::nanoseconds sSuspendedTime{0};
 
-std::chrono::nanoseconds timeWithSleep()
+std::chrono::nanoseconds timeIncludingSuspension()
 {
-    return std::chrono::steady_clock::now().time_since_epoch() + sSlept;
+    return std::chrono::steady_clock::now().time_since_epoch() + sSuspendedTime;
 }
 
 /** Boot time is the monotonic one and what the box slept. */
-class Sleeper
+class SuspendedClock
 {
 public:
-    Sleeper()
+    SuspendedClock()
     {
-        sSlept = std::chrono::nanoseconds(0);
-        BootClock::setSource(timeWithSleep);
+        sSuspendedTime = std::chrono::nanoseconds(0);
+        BootClock::setSource(timeIncludingSuspension);
     }
-    ~Sleeper() { BootClock::setSource(nullptr); }
+    ~SuspendedClock() { BootClock::setSource(nullptr); }
 
-    void sleep(std::chrono::seconds span) { sSlept += span; }
+    void sleep(std::chrono::seconds span) { sSuspendedTime += span; }
 };
 
 std::string answerTo(const std::string &head, const std::string &more = "")
@@ -49,115 +49,117 @@
         + "Loomjunction-Response-Signature: s\r\nContent-Length: 5\r\n\r\nwhole";
 }
 
-ScriptedReplica::Answer good(const std::string &head)
+ScriptedReplica::Answer succeeds(const std::string &head)
 {
     return {answerTo(head), false};
 }
 
-ScriptedReplica::Answer keepsTwoSeconds(const std::string &head)
+ScriptedReplica::Answer keepsAliveTwoSeconds(const std::string &head)
 {
     return {answerTo(head, "Keep-Alive: timeout=2\r\n"), false};
 }
 
-awaitable<void> untilReady(DirectLab &lab)
+awaitable<void> waitUntilReady(GatewayFixture &fixture)
 {
-    co_await lab.waitFor(
-        [&lab] { return lab.front().isReady() && lab.replicas().replicas().all().size() == 1; });
+    co_await fixture.waitFor([&fixture] {
+        return fixture.front().isReady() && fixture.replicas().replicas().all().size() == 1;
+    });
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(weights_that_were_over_during_a_sleep_begin_nothing_after_it)
+BOOST_AUTO_TEST_CASE(weights_that_expired_during_a_suspension_start_no_request)
 {
-    Sleeper sleeper;
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "engine", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab);
+    SuspendedClock sleeper;
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "engine", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture);
         DirectBounds bounds;
         bounds.weightsTime = Milliseconds(8'000);
         bounds.configTime = Milliseconds(600'000);
-        lab.config().setBounds(bounds);
-        lab.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
-        co_await lab.waitFor([&lab] { return lab.config().weights().newest("m") == 2; });
+        fixture.config().setBounds(bounds);
+        fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
+        co_await fixture.waitFor(
+            [&fixture] { return fixture.config().weights().newest("m") == 2; });
         sleeper.sleep(std::chrono::seconds(9));
-        const auto response = co_await lab.call("POST", "/patient/a", "id1");
+        const auto response = co_await fixture.call("POST", "/patient/a", "id1");
         BOOST_TEST(response->status == 503);
         BOOST_TEST(replica.requests() == 0);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_of_before_a_sleep_denies_nothing_after_it)
+BOOST_AUTO_TEST_CASE(a_configuration_from_before_a_suspension_causes_no_permanent_errors)
 {
-    Sleeper sleeper;
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.addReplica("i-1", "plain", good);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab);
+    SuspendedClock sleeper;
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.addReplica("i-1", "plain", succeeds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture);
         DirectBounds bounds;
         bounds.configTime = Milliseconds(60'000);
-        lab.config().setBounds(bounds);
-        const auto before = co_await lab.call("POST", "/nowhere/a", "id1");
+        fixture.config().setBounds(bounds);
+        const auto before = co_await fixture.call("POST", "/nowhere/a", "id1");
         BOOST_TEST(before->status == 404);
-        lab.store.isAway = true;
+        fixture.store.isUnreachable = true;
         sleeper.sleep(std::chrono::seconds(61));
-        const auto after = co_await lab.call("POST", "/nowhere/a", "id2");
+        const auto after = co_await fixture.call("POST", "/nowhere/a", "id2");
         BOOST_TEST(after->status == 503);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_connection_that_rested_over_a_sleep_is_used_no_more)
+BOOST_AUTO_TEST_CASE(a_connection_idle_over_a_suspension_is_not_reused)
 {
-    Sleeper sleeper;
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "plain", keepsTwoSeconds);
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab);
-        co_await lab.call("POST", "/once/a", "id1");
-        co_await lab.call("POST", "/once/a", "id2");
+    SuspendedClock sleeper;
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "plain", keepsAliveTwoSeconds);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture);
+        co_await fixture.call("POST", "/once/a", "id1");
+        co_await fixture.call("POST", "/once/a", "id2");
         BOOST_TEST(replica.closed() == 0);
         sleeper.sleep(std::chrono::seconds(3));
-        const auto response = co_await lab.call("POST", "/once/a", "id3");
+        const auto response = co_await fixture.call("POST", "/once/a", "id3");
         BOOST_TEST(response->status == 200);
-        co_await lab.waitFor([&] { return replica.requests() == 3; });
+        co_await fixture.waitFor([&] { return replica.requests() == 3; });
         BOOST_TEST(replica.connections() == 2);
     });
 }
 
 // The caller's time ended while the box slept: its end comes with the wake, and not as much
 // later as the sleep was long.
-BOOST_AUTO_TEST_CASE(a_deadline_that_passed_during_a_sleep_ends_the_call_at_the_wake)
+BOOST_AUTO_TEST_CASE(a_deadline_that_passed_during_a_suspension_ends_the_call_on_resume)
 {
-    Sleeper sleeper;
-    DirectLab lab;
-    lab.writeConfig(1);
-    ScriptedReplica &replica = lab.addReplica("i-1", "plain", [](const std::string &) {
+    SuspendedClock sleeper;
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    ScriptedReplica &replica = fixture.addReplica("i-1", "plain", [](const std::string &) {
         return ScriptedReplica::Answer{"", false};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await untilReady(lab);
+    fixture.run([&]() -> awaitable<void> {
+        co_await waitUntilReady(fixture);
         bool isSlept = false;
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
-                co_await lab.waitFor([&] { return replica.requests() == 1; });
+                co_await fixture.waitFor([&] { return replica.requests() == 1; });
                 sleeper.sleep(std::chrono::hours(1));
                 isSlept = true;
             },
             asio::detached);
-        const auto response = co_await lab.call("POST", "/long/a", "id1", "k", "300000");
+        const auto response = co_await fixture.call("POST", "/long/a", "id1", "k", "300000");
         BOOST_TEST(isSlept);
         BOOST_REQUIRE(response.has_value());
         BOOST_TEST(response->status == 504);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_sleep_is_told_with_its_length)
+BOOST_AUTO_TEST_CASE(a_suspension_is_reported_with_its_duration)
 {
-    Sleeper sleeper;
+    SuspendedClock sleeper;
     asio::io_context context{1};
     Metrics metrics;
     Kernel kernel(context.get_executor());
