--- a/tests/wholeanswers/test_wholeanswers.cpp
+++ b/tests/wholeanswers/test_wholeanswers.cpp
@@ -9,7 +9,7 @@
 #define BOOST_TEST_MODULE wholeanswers
 #include <boost/test/unit_test.hpp>
 
-#include "directlab.h"
+#include "gatewayfixture.h"
 #include "streamtext.h"
 
 #include <thread>
@@ -33,36 +33,36 @@
 using Script = ScriptedReplica::Script;
 using Answer = ScriptedReplica::Answer;
 
-std::function<bool()> forAWhile()
+std::function<bool()> duringPause()
 {
     const Instant until = now() + sPause;
     return [until] { return now() < until; };
 }
 
 /** Begins with the event @p from, is silent for a while, and ends with the next one. */
-Answer pauses(const std::string &head, int from = 1)
+Answer pausesAfterFirstEvent(const std::string &head, int from = 1)
 {
-    return {streamHead(requestIdOf(head)) + chunk(event(from)), false, forAWhile(),
+    return {streamHead(requestIdOf(head)) + chunk(event(from)), false, duringPause(),
             chunk(event(from + 1)) + sLastChunk};
 }
 
-Answer pausesFirst(const std::string &head)
+Answer pausesBeforeFirstEvent(const std::string &head)
 {
-    return {"", false, forAWhile(),
+    return {"", false, duringPause(),
             streamHead(requestIdOf(head)) + chunk(event(1)) + chunk(event(2)) + sLastChunk};
 }
 
-Answer fallsSilent(const std::string &head)
+Answer stopsAfterFirstEvent(const std::string &head)
 {
     return {streamHead(requestIdOf(head)) + chunk(event(1)), false};
 }
 
-Answer staysSilent(const std::string &)
+Answer neverAnswers(const std::string &)
 {
     return {"", false};
 }
 
-Answer breaksOff(const std::string &head)
+Answer closesConnection(const std::string &head)
 {
     return {streamHead(requestIdOf(head)) + chunk(event(1)), true};
 }
@@ -75,17 +75,17 @@
 }
 
 /** Goes on behind the first event. */
-Answer resumes(const std::string &head)
+Answer resumesAfterFirstEvent(const std::string &head)
 {
     BOOST_TEST(head.find("Last-Event-Id: 1") != std::string::npos);
     return {streamHead(requestIdOf(head)) + chunk(event(2)) + sLastChunk, false};
 }
 
 /** Two replicas; the first and the second request that come to either get these answers. */
-class TwoReplicas : public DirectLab
+class TwoReplicaFixture : public GatewayFixture
 {
 public:
-    TwoReplicas(Script onFirst, Script onSecond)
+    TwoReplicaFixture(Script onFirst, Script onSecond)
     {
         writeConfig(1);
         const Script script = [this, onFirst, onSecond](const std::string &head) {
@@ -96,10 +96,10 @@
         }
     }
 
-    awaitable<void> untilReady()
+    awaitable<void> waitUntilReady()
     {
         co_await waitFor([this] {
-            return front().isReady() && DirectLab::replicas().replicas().all().size() == 2;
+            return front().isReady() && GatewayFixture::replicas().replicas().all().size() == 2;
         });
     }
 
@@ -109,152 +109,163 @@
     std::vector<ScriptedReplica *> replicas;
 };
 
-void expectWhole(const tl::expected<HttpResponse, HttpError> &response, const std::string &body)
+void checkWholeResponse(const tl::expected<HttpResponse, HttpError> &response,
+                        const std::string &body)
 {
     BOOST_REQUIRE(response.has_value());
     BOOST_TEST(response->status == 200);
     BOOST_TEST(response->body == body);
 }
 
-void callOn(TwoReplicas &lab, const std::string &path, const std::string &body)
+void expectWholeResponse(TwoReplicaFixture &fixture, const std::string &path,
+                         const std::string &body)
 {
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.untilReady();
-        const auto response = co_await lab.call("POST", path, "id1");
-        expectWhole(response, body);
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitUntilReady();
+        const auto response = co_await fixture.call("POST", path, "id1");
+        checkWholeResponse(response, body);
     });
 }
 
-const std::string sTwoEvents = event(1) + event(2);
+const std::string sTwoEventBody = event(1) + event(2);
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_stream_that_pauses_is_whole_where_no_other_replica_is)
+BOOST_AUTO_TEST_CASE(a_paused_stream_completes_without_another_replica)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
-    lab.addReplica("i-1", "plain", [](const std::string &head) { return pauses(head); });
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.waitFor(
-            [&] { return lab.front().isReady() && lab.replicas().replicas().all().size() == 1; });
-        const auto response = co_await lab.call("POST", sPath, "id1");
-        expectWhole(response, sTwoEvents);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
+    fixture.addReplica("i-1", "plain",
+                       [](const std::string &head) { return pausesAfterFirstEvent(head); });
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitFor([&] {
+            return fixture.front().isReady() && fixture.replicas().replicas().all().size() == 1;
+        });
+        const auto response = co_await fixture.call("POST", sPath, "id1");
+        checkWholeResponse(response, sTwoEventBody);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_pauses_is_whole_where_the_other_replica_refuses_it)
+BOOST_AUTO_TEST_CASE(a_paused_stream_completes_when_the_other_replica_refuses_it)
 {
-    TwoReplicas lab([](const std::string &head) { return pauses(head); }, refuses);
-    callOn(lab, sPath, sTwoEvents);
-    BOOST_TEST(lab.sends == 2);
+    TwoReplicaFixture fixture([](const std::string &head) { return pausesAfterFirstEvent(head); },
+                              refuses);
+    expectWholeResponse(fixture, sPath, sTwoEventBody);
+    BOOST_TEST(fixture.sends == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_pauses_is_whole_where_no_repeat_is_left)
+BOOST_AUTO_TEST_CASE(a_paused_stream_completes_when_the_retry_budget_is_spent)
 {
-    TwoReplicas lab([](const std::string &head) { return pauses(head); }, resumes);
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.untilReady();
+    TwoReplicaFixture fixture([](const std::string &head) { return pausesAfterFirstEvent(head); },
+                              resumesAfterFirstEvent);
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitUntilReady();
         DirectBounds bounds;
         bounds.retries = {0, 0, Milliseconds(10'000)};
-        lab.DirectLab::replicas().setBounds(bounds);
-        const auto response = co_await lab.call("POST", sPath, "id1");
-        expectWhole(response, sTwoEvents);
-        BOOST_TEST(lab.sends == 1);
+        fixture.GatewayFixture::replicas().setBounds(bounds);
+        const auto response = co_await fixture.call("POST", sPath, "id1");
+        checkWholeResponse(response, sTwoEventBody);
+        BOOST_TEST(fixture.sends == 1);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_resumed_stream_that_pauses_is_whole)
+BOOST_AUTO_TEST_CASE(a_paused_resumed_stream_completes)
 {
-    TwoReplicas lab(breaksOff, [](const std::string &head) { return pauses(head, 2); });
-    callOn(lab, sPath, event(1) + event(2) + event(3));
-    BOOST_TEST(lab.sends == 2);
+    TwoReplicaFixture fixture(
+        closesConnection, [](const std::string &head) { return pausesAfterFirstEvent(head, 2); });
+    expectWholeResponse(fixture, sPath, event(1) + event(2) + event(3));
+    BOOST_TEST(fixture.sends == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_begins_late_is_whole_where_the_other_replica_refuses_it)
+BOOST_AUTO_TEST_CASE(a_stream_that_starts_late_completes_when_the_other_replica_refuses_it)
 {
-    TwoReplicas lab(pausesFirst, refuses);
-    callOn(lab, sPath, sTwoEvents);
+    TwoReplicaFixture fixture(pausesBeforeFirstEvent, refuses);
+    expectWholeResponse(fixture, sPath, sTwoEventBody);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_that_may_not_be_resumed_is_whole_after_a_pause)
+BOOST_AUTO_TEST_CASE(a_non_resumable_stream_completes_after_a_pause)
 {
-    TwoReplicas lab([](const std::string &head) { return pauses(head); }, resumes);
-    callOn(lab, "/quickonce/a", sTwoEvents);
-    BOOST_TEST(lab.sends == 1);
+    TwoReplicaFixture fixture([](const std::string &head) { return pausesAfterFirstEvent(head); },
+                              resumesAfterFirstEvent);
+    expectWholeResponse(fixture, "/quickonce/a", sTwoEventBody);
+    BOOST_TEST(fixture.sends == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_goes_on_at_another_replica_before_the_silent_one_is_given_up)
+BOOST_AUTO_TEST_CASE(a_stream_resumes_at_another_replica_before_the_silent_one_is_abandoned)
 {
     int closedBefore = -1;
-    TwoReplicas *self = nullptr;
-    TwoReplicas lab(fallsSilent, [&](const std::string &head) {
+    TwoReplicaFixture *self = nullptr;
+    TwoReplicaFixture fixture(stopsAfterFirstEvent, [&](const std::string &head) {
         closedBefore = self->closed();
-        return resumes(head);
+        return resumesAfterFirstEvent(head);
     });
-    self = &lab;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.untilReady();
-        const auto response = co_await lab.call("POST", sPath, "id1");
-        expectWhole(response, sTwoEvents);
+    self = &fixture;
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitUntilReady();
+        const auto response = co_await fixture.call("POST", sPath, "id1");
+        checkWholeResponse(response, sTwoEventBody);
         BOOST_TEST(closedBefore == 0);
-        co_await lab.waitFor([&] { return lab.closed() == 1; });
+        co_await fixture.waitFor([&] { return fixture.closed() == 1; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(of_two_replicas_the_one_that_speaks_first_gives_the_answer)
+BOOST_AUTO_TEST_CASE(the_first_of_two_replicas_to_send_an_event_provides_the_response)
 {
-    TwoReplicas lab([](const std::string &head) { return pauses(head); }, staysSilent);
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.untilReady();
-        const auto response = co_await lab.call("POST", sPath, "id1");
-        expectWhole(response, sTwoEvents);
-        BOOST_TEST(lab.sends == 2);
+    TwoReplicaFixture fixture([](const std::string &head) { return pausesAfterFirstEvent(head); },
+                              neverAnswers);
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitUntilReady();
+        const auto response = co_await fixture.call("POST", sPath, "id1");
+        checkWholeResponse(response, sTwoEventBody);
+        BOOST_TEST(fixture.sends == 2);
         // The other one hears that it works for nobody.
-        co_await lab.waitFor([&] { return lab.closed() == 1; });
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
+        co_await fixture.waitFor([&] { return fixture.closed() == 1; });
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_goes_on_where_the_silent_replica_breaks_off_at_last)
+BOOST_AUTO_TEST_CASE(a_stream_resumes_when_the_silent_replica_closes_its_connection)
 {
-    TwoReplicas lab(
+    TwoReplicaFixture fixture(
         [](const std::string &head) -> Answer {
-            return {streamHead(requestIdOf(head)) + chunk(event(1)), true, forAWhile()};
+            return {streamHead(requestIdOf(head)) + chunk(event(1)), true, duringPause()};
         },
         [](const std::string &head) -> Answer {
             const Instant until = now() + 2 * sPause;
-            return {"", false, [until] { return now() < until; }, resumes(head).bytes};
+            return {"", false, [until] { return now() < until; },
+                    resumesAfterFirstEvent(head).bytes};
         });
-    callOn(lab, sPath, sTwoEvents);
-    BOOST_TEST(lab.sends == 2);
+    expectWholeResponse(fixture, sPath, sTwoEventBody);
+    BOOST_TEST(fixture.sends == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_ends_both_tries)
+BOOST_AUTO_TEST_CASE(a_caller_disconnect_cancels_both_attempts)
 {
-    TwoReplicas lab(fallsSilent, staysSilent);
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.untilReady();
-        auto caller = co_await connectWithin(lab.front().localEndpoint(), std::chrono::seconds(5));
+    TwoReplicaFixture fixture(stopsAfterFirstEvent, neverAnswers);
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitUntilReady();
+        auto caller
+            = co_await connectWithin(fixture.front().localEndpoint(), std::chrono::seconds(5));
         const std::string request = "POST " + sPath
             + " HTTP/1.1\r\nHost: h\r\nLoomjunction-Request-Id: id1\r\n"
               "Authorization: Token k\r\nContent-Length: 0\r\n\r\n";
         co_await asio::async_write(*caller, asio::buffer(request), sAsValue);
-        co_await lab.waitFor([&] { return lab.sends == 2; });
+        co_await fixture.waitFor([&] { return fixture.sends == 2; });
         caller->close();
-        co_await lab.waitFor([&] { return lab.closed() == 2; });
-        co_await lab.waitFor([&] { return lab.front().inFlight() == 0; });
+        co_await fixture.waitFor([&] { return fixture.closed() == 2; });
+        co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(the_end_of_its_time_ends_both_tries)
+BOOST_AUTO_TEST_CASE(the_deadline_cancels_both_attempts)
 {
-    TwoReplicas lab(fallsSilent, staysSilent);
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.untilReady();
-        const auto response = co_await lab.call("POST", sPath, "id1", "k", "2500");
+    TwoReplicaFixture fixture(stopsAfterFirstEvent, neverAnswers);
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitUntilReady();
+        const auto response = co_await fixture.call("POST", sPath, "id1", "k", "2500");
         BOOST_TEST(!response.has_value());
-        BOOST_TEST(lab.sends == 2);
-        co_await lab.waitFor([&] { return lab.closed() == 2; });
+        BOOST_TEST(fixture.sends == 2);
+        co_await fixture.waitFor([&] { return fixture.closed() == 2; });
     });
 }
 
@@ -262,16 +273,16 @@
 // 2.4 s after they had come: 44 of 53 calls that ended so within two seconds had no event
 // (outcome "caller left", events 0, tookMs 2,400). Nobody can tell a replica that stands
 // still of it. A caller that is told in time may try again.
-BOOST_AUTO_TEST_CASE(a_request_that_has_not_begun_is_answered_before_its_caller_leaves)
+BOOST_AUTO_TEST_CASE(a_request_without_a_first_event_is_answered_before_its_caller_gives_up)
 {
     for (const std::string &path : {sPath, std::string("/quickonce/a")}) {
-        TwoReplicas lab(staysSilent, refuses);
-        lab.run([&]() -> awaitable<void> {
-            co_await lab.untilReady();
-            const auto response = co_await lab.call("POST", path, "id1");
+        TwoReplicaFixture fixture(neverAnswers, refuses);
+        fixture.run([&]() -> awaitable<void> {
+            co_await fixture.waitUntilReady();
+            const auto response = co_await fixture.call("POST", path, "id1");
             BOOST_REQUIRE(response.has_value());
             BOOST_TEST(response->status == 502);
-            co_await lab.waitFor([&] { return lab.closed() == 1; });
+            co_await fixture.waitFor([&] { return fixture.closed() == 1; });
         });
     }
 }
@@ -279,16 +290,16 @@
 namespace {
 
 /** A replica on a loop of its own, which goes on while the gateway stands still. */
-class OwnLoopReplica
+class ThreadedReplica
 {
 public:
-    explicit OwnLoopReplica(Script script)
+    explicit ThreadedReplica(Script script)
         : mReplica(mContext, std::move(script))
         , mThread([this] { mContext.run(); })
     {
     }
 
-    ~OwnLoopReplica()
+    ~ThreadedReplica()
     {
         mContext.stop();
         mThread.join();
@@ -309,11 +320,11 @@
 } // namespace
 
 // Many streams at once, since the loop hears of some of its sockets only after its timers.
-BOOST_AUTO_TEST_CASE(time_for_which_the_gateway_stood_still_is_no_silence_of_a_replica)
+BOOST_AUTO_TEST_CASE(an_event_loop_stall_does_not_count_as_replica_silence)
 {
     constexpr int streams = 150;
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     std::atomic<int> begun{0};
     const Script script = [&](const std::string &head) {
         ++begun;
@@ -321,29 +332,30 @@
         return Answer{streamHead(requestIdOf(head)) + chunk(event(1)), false,
                       [until] { return now() < until; }, chunk(event(2)) + sLastChunk};
     };
-    OwnLoopReplica first(script);
-    OwnLoopReplica second(script);
-    lab.store.write(Feed::Replicas, "i-1", first.record());
-    lab.store.write(Feed::Replicas, "i-2", second.record());
+    ThreadedReplica first(script);
+    ThreadedReplica second(script);
+    fixture.store.write(Feed::Replicas, "i-1", first.record());
+    fixture.store.write(Feed::Replicas, "i-2", second.record());
     int whole = 0;
     int ended = 0;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.waitFor(
-            [&] { return lab.front().isReady() && lab.replicas().replicas().all().size() == 2; });
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitFor([&] {
+            return fixture.front().isReady() && fixture.replicas().replicas().all().size() == 2;
+        });
         for (int index = 0; index < streams; ++index) {
             asio::co_spawn(
-                lab.context,
-                [&lab, &whole, &ended, index]() -> awaitable<void> {
+                fixture.context,
+                [&fixture, &whole, &ended, index]() -> awaitable<void> {
                     const std::string id = "id" + std::to_string(index);
-                    const auto response = co_await lab.call("POST", sPath, id);
-                    whole += response && response->status == 200 && response->body == sTwoEvents;
+                    const auto response = co_await fixture.call("POST", sPath, id);
+                    whole += response && response->status == 200 && response->body == sTwoEventBody;
                     ++ended;
                 },
                 asio::detached);
         }
-        co_await lab.waitFor([&] { return begun == streams; });
+        co_await fixture.waitFor([&] { return begun == streams; });
         std::this_thread::sleep_for(std::chrono::milliseconds(2'500));
-        co_await lab.waitFor([&] { return ended == streams; });
+        co_await fixture.waitFor([&] { return ended == streams; });
         BOOST_TEST(whole == streams);
         BOOST_TEST(begun == streams); // none was sent again
     });
@@ -351,11 +363,11 @@
 
 // A caller got its first event twice, from each of two replicas that began at the same time: the
 // standby's events came while the head of the first one's answer was on its way to the caller.
-BOOST_AUTO_TEST_CASE(of_two_replicas_that_begin_at_once_only_one_gives_the_answer)
+BOOST_AUTO_TEST_CASE(only_one_of_two_replicas_that_start_at_once_provides_the_response)
 {
     constexpr int streams = 6; // that two replicas of four slots take twice
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     std::atomic<bool> isReleased{false};
     std::atomic<int> sends{0};
     const Script script = [&](const std::string &head) {
@@ -364,75 +376,77 @@
                       streamHead(requestIdOf(head)) + chunk(event(1)) + chunk(event(2))
                           + sLastChunk};
     };
-    OwnLoopReplica first(script);
-    OwnLoopReplica second(script);
-    lab.store.write(Feed::Replicas, "i-1", first.record());
-    lab.store.write(Feed::Replicas, "i-2", second.record());
+    ThreadedReplica first(script);
+    ThreadedReplica second(script);
+    fixture.store.write(Feed::Replicas, "i-1", first.record());
+    fixture.store.write(Feed::Replicas, "i-2", second.record());
     int whole = 0;
     int ended = 0;
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.waitFor(
-            [&] { return lab.front().isReady() && lab.replicas().replicas().all().size() == 2; });
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitFor([&] {
+            return fixture.front().isReady() && fixture.replicas().replicas().all().size() == 2;
+        });
         for (int index = 0; index < streams; ++index) {
             asio::co_spawn(
-                lab.context,
-                [&lab, &whole, &ended, index]() -> awaitable<void> {
+                fixture.context,
+                [&fixture, &whole, &ended, index]() -> awaitable<void> {
                     const std::string id = "id" + std::to_string(index);
-                    const auto response = co_await lab.call("POST", sPath, id);
-                    whole += response && response->status == 200 && response->body == sTwoEvents;
+                    const auto response = co_await fixture.call("POST", sPath, id);
+                    whole += response && response->status == 200 && response->body == sTwoEventBody;
                     ++ended;
                 },
                 asio::detached);
         }
-        co_await lab.waitFor([&] { return sends == 2 * streams; });
+        co_await fixture.waitFor([&] { return sends == 2 * streams; });
         isReleased = true;
         // Both answers of each lie there when the gateway's loop looks again.
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
-        co_await lab.waitFor([&] { return ended == streams; });
+        co_await fixture.waitFor([&] { return ended == streams; });
         BOOST_TEST(whole == streams);
     });
 }
 
-BOOST_AUTO_TEST_CASE(configurations_in_series_end_no_stream_under_way)
+BOOST_AUTO_TEST_CASE(configuration_changes_do_not_interrupt_a_stream)
 {
-    DirectLab lab;
-    lab.writeConfig(1);
+    GatewayFixture fixture;
+    fixture.writeConfig(1);
     bool isDone = false;
-    lab.addReplica("i-1", "plain", [&](const std::string &head) {
+    fixture.addReplica("i-1", "plain", [&](const std::string &head) {
         return Answer{streamHead(requestIdOf(head)) + chunk(event(1)), false,
                       [&] { return !isDone; }, chunk(event(2)) + sLastChunk};
     });
-    lab.run([&]() -> awaitable<void> {
-        co_await lab.waitFor(
-            [&] { return lab.front().isReady() && lab.replicas().replicas().all().size() == 1; });
+    fixture.run([&]() -> awaitable<void> {
+        co_await fixture.waitFor([&] {
+            return fixture.front().isReady() && fixture.replicas().replicas().all().size() == 1;
+        });
         asio::co_spawn(
-            lab.context,
+            fixture.context,
             [&]() -> awaitable<void> {
-                co_await lab.waitFor([&] { return lab.front().inFlight() == 1; });
+                co_await fixture.waitFor([&] { return fixture.front().inFlight() == 1; });
                 constexpr std::uint64_t last = 60;
                 for (std::uint64_t version = 2; version <= last; ++version) {
                     // Every other one has no routes, services or accounts at all.
                     if (version % 2 == 0) {
-                        lab.writeConfig(version);
+                        fixture.writeConfig(version);
                     } else {
-                        lab.store.write(Feed::Operators, "config",
-                                        R"({"version":)" + std::to_string(version)
-                                            + R"(,"routes":[],"services":[]})");
+                        fixture.store.write(Feed::Operators, "config",
+                                            R"({"version":)" + std::to_string(version)
+                                                + R"(,"routes":[],"services":[]})");
                     }
-                    co_await lab.waitFor(
-                        [&] { return lab.config().table()->version() == version; });
+                    co_await fixture.waitFor(
+                        [&] { return fixture.config().table()->version() == version; });
                 }
                 isDone = true;
             },
             asio::detached);
-        const auto response = co_await lab.call("POST", "/stream/a", "id1");
-        expectWhole(response, sTwoEvents);
+        const auto response = co_await fixture.call("POST", "/stream/a", "id1");
+        checkWholeResponse(response, sTwoEventBody);
     });
 }
 
 // Nobody was told of a handler that ended by an exception: its caller's connection was
 // closed without an answer, and no line was logged.
-BOOST_AUTO_TEST_CASE(a_request_whose_handler_throws_is_answered_and_told_of)
+BOOST_AUTO_TEST_CASE(a_request_whose_handler_throws_is_answered_and_reported)
 {
     asio::io_context context{1};
     HttpServer server(context.get_executor(), [](HttpExchange &) -> awaitable<void> {
