--- a/src/libloomjunction/gateway/addressserver.cpp
+++ b/src/libloomjunction/gateway/addressserver.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Short enough that callers leave a lost gateway soon; each answer is one small call.
+// Short enough that callers soon stop using a lost gateway; refreshing costs one small request.
 constexpr Milliseconds sAddressLifetime{2'000};
 
 } // namespace
@@ -55,7 +55,7 @@
     if (mCalls.isReadyCheck(exchange.request())) {
         response = HttpResponse::json(mGateway->isReady() ? 200 : 503, "{}");
     } else if (const auto question = mCalls.addressQuestion(exchange.request())) {
-        response = answer(*question);
+        response = resolveAddresses(*question);
     }
     co_await exchange.respond(std::move(response));
 }
@@ -70,7 +70,7 @@
     return place;
 }
 
-HttpResponse AddressServer::answer(const AddressQuestion &question) const
+HttpResponse AddressServer::resolveAddresses(const AddressQuestion &question) const
 {
     std::vector<AddressPlace> places = mMembers->addressPlaces();
     places.push_back(ownAddress());
--- a/src/libloomjunction/gateway/addressserver.h
+++ b/src/libloomjunction/gateway/addressserver.h
@@ -20,7 +20,7 @@
 class GatewayServer;
 class MemberService;
 
-/** Tells callers which gateways to use, and the platform whether this one is ready. */
+/** Serves gateway addresses to callers and a readiness check to the platform. */
 class AddressServer final : public Service
 {
 public:
@@ -32,13 +32,13 @@
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override;
 
-    /** Where callers ask, e.g. after asking for port 0. */
+    /** The address for callers, including the port that the system chose for port 0. */
     Tcp::endpoint localEndpoint() const { return mAddressServer->localEndpoint(); }
 
 private:
     awaitable<void> handle(HttpExchange &exchange);
     AddressPlace ownAddress() const;
-    HttpResponse answer(const AddressQuestion &question) const;
+    HttpResponse resolveAddresses(const AddressQuestion &question) const;
 
     CallPort &mCalls;
     const DirectSettings &mSettings;
--- a/src/libloomjunction/gateway/callstate.h
+++ b/src/libloomjunction/gateway/callstate.h
@@ -26,7 +26,7 @@
 class QuarantineService;
 class ReplicaService;
 
-/** What the calls of one gateway share. */
+/** The settings and services that all calls of one gateway share. */
 struct CallParts
 {
     const DirectSettings &settings;
@@ -38,22 +38,25 @@
     Metrics &metrics;
 };
 
-/** One request of a caller while it is under way, as its tries see it. Owned by the call. */
+/**
+ * State of one caller's request that its attempts at replicas share. A GatewayCall owns it
+ * for as long as the request is in progress.
+ */
 struct CallState
 {
     CallParts parts;
     HttpExchange &exchange;
-    RouteTablePtr table; ///< in force when the request came; holds the route and the service
+    RouteTablePtr table; ///< current when the request arrived; owns the route and the service
     const Route *route = nullptr;
     const ServiceFigures *service = nullptr;
     std::string serviceName;
     CallerFields caller;
     std::string account;
-    Instant deadline; ///< the caller's time and the route's, whichever ends first
+    Instant deadline; ///< the earlier of the caller's deadline and the route's timeout
     bool isCallerGone = false;
     bool isTimedOut = false;
     bool isHeadSent = false;
-    std::optional<std::uint64_t> lastEvent; ///< the last one that the caller got
+    std::optional<std::uint64_t> lastEvent; ///< id of the last event that was sent to the caller
 
     Milliseconds timeLeft() const
     {
@@ -62,7 +65,7 @@
     bool isForEngine() const { return service != nullptr && service->engine; }
 };
 
-/** With less than this left, an answer would come too late to be sent for. */
+/** With less time left, a response would arrive too late, so no attempt is started. */
 inline constexpr Milliseconds sMinTimeLeft{20};
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -27,33 +27,37 @@
 
 namespace {
 
-// Before the first configuration, and while none may be fresh, callers come back soon.
+// Callers are told to retry soon while no configuration is known or it may be stale.
 constexpr Milliseconds sNoConfigRetryDelay{300};
 constexpr Milliseconds sNoReplicaRetryDelay{400};
 constexpr Milliseconds sRefusedRetryDelay{200};
-// A request without a time of its own, on a route without one.
+// For requests without a deadline on routes without a timeout.
 constexpr Milliseconds sDefaultTimeout{10'000};
-// Connections that could not be made; nothing was sent, but time passes.
+// Limits failed connects, which do not count as sends but cost time.
 constexpr std::uint32_t sMaxFailedConnects = 3;
-// After this many times its longest good pause a stream is taken for silent, but
-// not before this time: passes grow long when many prompts are read.
+// A stream counts as silent after this many times the longest pause that its route aims at, but
+// not before the minimum: engine steps take longer while many prompts are processed.
 constexpr int sStreamSilencePauses = 4;
 constexpr Milliseconds sMinStreamSilence{1'000};
-// Before its first event a stream may wait in the replica's queue.
+// Before its first event, a request may wait in the replica's queue, so the limit is based on the
+// latency goal of the route.
 constexpr int sFirstSilenceGoals = 4;
 constexpr Milliseconds sMinFirstSilence{1'200};
-// Callers leave a stream that has not begun after two seconds at the earliest. One that
-// is answered before may try again; of one that left, a replica may not hear.
+// Callers abandon a stream without a first event after two seconds at the earliest. A caller that
+// gets an error before then can retry. After a disconnect, a stalled replica may never learn that
+// the request was abandoned.
 constexpr Milliseconds sMinFirstEventTimeout{1'850};
-// A timer that is later than this shows that the loop stood still: what came
-// meanwhile has not been read yet.
+// A timer that fires later than this shows that the event loop stalled: data that arrived in the
+// meantime has not been read yet.
 constexpr Milliseconds sMinLoopStall{50};
 constexpr Milliseconds sHedgeWaitInterval{1'000};
-// Permits of replicas that named a limit; each one denied costs a way there and back.
+// Limits the denied send permits for replicas with a rate limit; each one costs a network round
+// trip.
 constexpr std::uint32_t sMaxDeniedPermits = 6;
 constexpr int sBadRequest = 400;
 constexpr int sUnavailable = 503;
-constexpr std::string_view sQuarantined = "replicas ended under this request";
+// Sent to callers of a request that is quarantined because replicas crashed while executing it.
+constexpr std::string_view sQuarantinedReason = "replicas ended under this request";
 
 std::uint64_t randomNumber()
 {
@@ -136,11 +140,11 @@
     mCall.service = mCall.table->service(mCall.serviceName);
     const Milliseconds routeTime
         = mCall.route->timeout.count() > 0 ? mCall.route->timeout : sDefaultTimeout;
-    if (const auto left = quarantineTimeLeft()) {
-        return Refusal{503, std::string(sQuarantined), left};
+    if (const auto timeLeft = quarantineTimeLeft()) {
+        return Refusal{503, std::string(sQuarantinedReason), timeLeft};
     }
     if (mCall.caller.deadline) {
-        // By the time it has left.
+        // How long the caller has been retrying is estimated from the time that it has left.
         mTimes.setWaitedBefore(
             mCall.parts.replicas.waitedBefore(mCall.route->name, *mCall.caller.deadline));
     }
@@ -168,7 +172,7 @@
 
 void GatewayCall::watchCallerAndDeadline()
 {
-    // Handlers that are queued already may run after the call has ended.
+    // Handlers that are already queued may run after the call has been destroyed.
     const std::weak_ptr<bool> alive = mAlive;
     mCall.exchange.watchCaller([this, alive] {
         if (alive.expired()) {
@@ -227,7 +231,7 @@
     co_return co_await mCall.parts.replicas.choose(asked);
 }
 
-// A caller that came back before a replica takes requests again would be refused again.
+// A caller that retries before any replica accepts requests again would only be refused again.
 Milliseconds GatewayCall::retryDelayAfterRefusal() const
 {
     return mCall.parts.replicas.replicas().heldFor(query(), now()).value_or(sRefusedRetryDelay);
@@ -258,14 +262,14 @@
             }
             break;
         }
-        // Others may have told of it since it came, or since the last try.
-        if (const auto left = quarantineTimeLeft()) {
-            last = {503, std::string(sQuarantined), left};
+        // Other gateways may have reported the request since it arrived or since the last attempt.
+        if (const auto timeLeft = quarantineTimeLeft()) {
+            last = {503, std::string(sQuarantinedReason), timeLeft};
             mStopReason = "held back";
             break;
         }
-        // Every send passes a permit, first ones, repeats and resumed streams: a limit that a
-        // replica named holds for all gateways together, which no gateway can count alone.
+        // Every send needs a permit, whether first send, retry or resumed stream: a replica's rate
+        // limit applies to all gateways together, and no gateway can enforce it alone.
         if (!co_await mCall.parts.replicas.takePermit(chosen->id)) {
             if (++mDeniedPermitCount == sMaxDeniedPermits) {
                 mStopReason = "no permit";
@@ -375,12 +379,12 @@
     if (!mCall.route->mayRepeat() || mCall.isCallerGone || mCall.isTimedOut) {
         return false;
     }
-    // Two replicas ended under it: a third within the same call would be the next, and
-    // all that runs there with it.
+    // Two replicas crashed while executing this request. A retry within the same call could crash
+    // a third one, with all requests that run there.
     if (!mDigest.isEmpty() && mCall.parts.quarantine.isHeldBack(mDigest)) {
         return false;
     }
-    // Behind events that the caller has, only a resumed stream can follow.
+    // Once the caller has received events, only a resumed stream can continue the response.
     return !mCall.isHeadSent || (mCall.route->isResumable && mCall.route->isStream);
 }
 
@@ -422,9 +426,10 @@
     }
     noteSent();
     if (mCall.route->isStream) {
-        const auto first = std::max(sMinFirstSilence, mCall.route->goal * sFirstSilenceGoals);
-        mFirstEventDueAt = now() + std::max(first, sMinFirstEventTimeout);
-        startSilenceTimer(first);
+        const auto firstSilence
+            = std::max(sMinFirstSilence, mCall.route->goal * sFirstSilenceGoals);
+        mFirstEventDueAt = now() + std::max(firstSilence, sMinFirstEventTimeout);
+        startSilenceTimer(firstSilence);
     }
     auto head = co_await mAttempt->sendRequest();
     if (!head) {
@@ -443,7 +448,8 @@
         co_return std::move(body.error());
     }
     if (mCall.isHeadSent) {
-        // A resumed stream was refused with a failure; the caller has its head already.
+        // The replica answered a request to resume a stream with an error, which cannot be
+        // forwarded because the caller already has the response head.
         co_return AttemptUnknown{"failure " + std::to_string(head.status) + " on resuming",
                                  std::nullopt};
     }
@@ -467,11 +473,11 @@
         if (!events) {
             co_return std::move(events.error());
         }
-        // The standby goes on from the last event that the caller got before it began.
+        // The hedge continues after the last event that the caller had received when it started.
         if (mHasHedgeTakenOver) {
             co_return AttemptUnknown{"silent", std::nullopt};
         }
-        // At once: the standby could begin while this part of the answer is on its way.
+        // Cancels the hedge before writing: it could take over while the write is pending.
         stopSilenceTimer();
         cancelHedge();
         if (!mCall.isHeadSent) {
@@ -499,7 +505,7 @@
     co_await mCall.exchange.beginStream(std::move(begin));
 }
 
-// False: the caller left.
+// Returns false if the caller has disconnected.
 awaitable<bool> GatewayCall::forwardEvents(const EventBatch &events)
 {
     mTimes.noteEvents(now());
@@ -533,7 +539,7 @@
 {
     const auto late = BootClock::now() - mSilenceTimer.expiry();
     if (!mIsSilenceTimerRunning || late < late.zero()) {
-        return; // queued before the replica spoke
+        return; // queued before the replica sent data
     }
     if (late > sMinLoopStall) {
         startSilenceTimer(mSilenceTimeout);
@@ -550,7 +556,7 @@
     }
     mIsHedgeRunning = true;
     mIsHedgeCancelled = false;
-    // run() waits until it has ended.
+    // run() waits for the hedge to end, so `this` stays valid.
     asio::co_spawn(mCall.exchange.executor(), tryHedge(), [this](const std::exception_ptr &) {
         mIsHedgeRunning = false;
         mHedgeEnded.notify();
@@ -562,7 +568,7 @@
     return !mCall.isHeadSent && now() >= mFirstEventDueAt;
 }
 
-// The try goes on without a standby.
+// Continues the attempt without a hedge.
 void GatewayCall::restartSilenceTimer()
 {
     const auto left = std::chrono::duration_cast<Milliseconds>(mFirstEventDueAt - now());
@@ -574,8 +580,8 @@
     return !mIsHedgeCancelled && !mCall.isCallerGone && !mCall.isTimedOut;
 }
 
-// A silent replica may only be slow. Given up before another one has taken the request
-// over, its caller would be cut where none does.
+// A silent replica may only be slow. If its attempt were abandoned before another replica has
+// taken over, the response would be cut off where no other replica can.
 awaitable<void> GatewayCall::tryHedge()
 {
     auto chosen = co_await chooseHedgeReplica();
@@ -607,7 +613,7 @@
     co_return *chosen;
 }
 
-// What became of it.
+// Returns what became of the hedge, as a label of the metric "standby_tries".
 awaitable<std::string_view> GatewayCall::runHedge(ChosenReplica chosen)
 {
     mHedge = std::make_unique<ReplicaAttempt>(mCall, std::move(chosen));
@@ -642,7 +648,7 @@
     co_return co_await mHedge->prefetchEvents();
 }
 
-// Waits for a standby that is on its way; false: there is none that has begun.
+// Waits for a running hedge to end. Returns whether it has taken over.
 awaitable<bool> GatewayCall::waitForHedge()
 {
     while (mIsHedgeRunning) {
--- a/src/libloomjunction/gateway/gatewaycall.h
+++ b/src/libloomjunction/gateway/gatewaycall.h
@@ -26,9 +26,10 @@
 namespace Loom {
 
 /**
- * One request of a caller: finds its route, sends it to replicas as often as
- * the route, the budget and its time allow, and answers it exactly once.
- * Lives as long as its exchange.
+ * Handles one request of a caller: finds its route, sends it to replicas as often as the route,
+ * the retry budget and the deadline allow, and responds exactly once. If a replica that streams
+ * events falls silent, a second attempt is sent to another replica as a hedge. Lives as long as
+ * its exchange.
  */
 class GatewayCall
 {
@@ -45,16 +46,18 @@
     {
         int status = 503;
         std::string reason;
-        std::optional<Milliseconds> comeBack;
+        std::optional<Milliseconds> comeBack; ///< sent as Retry-After
     };
 
+    /** Finds the route, the service and the deadline. Returns a refusal on failure. */
     std::optional<Refusal> prepare();
+    /** Checks the API key where the route needs one. Returns a refusal on failure. */
     std::optional<Refusal> authenticate();
     awaitable<void> sendToReplicas();
-    /** Why no further try may follow; empty: one may. */
+    /** Why no further attempt is allowed; empty if one is. */
     std::string_view stopReason() const;
     const RequestDigest &digest();
-    /** For how long the request is refused, since it ends what runs it. */
+    /** How much longer the request is refused because it crashes replicas; empty if it is not. */
     std::optional<Milliseconds> quarantineTimeLeft();
     awaitable<void> noteFailedAttempt(const ReplicaAttempt &attempt, const AttemptOutcome &result);
     void noteGoodEnd();
@@ -62,8 +65,10 @@
     ReplicaQuery query() const;
     awaitable<ReplicaChoice> choose() const;
     Milliseconds retryDelayAfterRefusal() const;
+    /** Whether the request may be sent again after an attempt with an unknown outcome. */
     bool mayRepeat() const;
 
+    /** Runs an attempt at @p chosen and, if it fails, continues with a hedge that took over. */
     awaitable<AttemptOutcome> runAttemptWithHedge(ChosenReplica chosen);
     awaitable<AttemptOutcome> runAttempt();
     awaitable<AttemptOutcome> forwardResponse(LinkHead head);
@@ -74,9 +79,11 @@
 
     void startSilenceTimer(Milliseconds silence);
     void restartSilenceTimer();
+    /** Whether the current attempt has run too long without a first event. */
     bool isOverdue() const;
     void onSilenceTimeout();
     void stopSilenceTimer();
+    /** Sends the request to another replica while the current attempt is silent. */
     awaitable<void> tryHedge();
     awaitable<std::optional<ChosenReplica>> chooseHedgeReplica();
     awaitable<std::string_view> runHedge(ChosenReplica chosen);
@@ -87,6 +94,7 @@
     awaitable<void> finishHedge();
 
     awaitable<void> refuse(Refusal refusal);
+    /** Responds with an error, or cuts the response off if it has started. */
     awaitable<void> failCall(int status, std::string reason);
     void watchCallerAndDeadline();
     void cancelAttempts();
@@ -98,31 +106,31 @@
     const Instant mArrivedAt;
     std::uint64_t mRandom = 0;
     BootTimer mDeadlineTimer;
-    std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
+    std::shared_ptr<bool> mAlive = std::make_shared<bool>(true); ///< expires with the call
 
-    std::unique_ptr<ReplicaAttempt> mAttempt; ///< that the caller gets its answer from
-    std::vector<std::string> mExcludedReplicas; ///< replicas that were tried
+    std::unique_ptr<ReplicaAttempt> mAttempt; ///< its response is forwarded to the caller
+    std::vector<std::string> mExcludedReplicas; ///< replicas that were tried already
     std::uint32_t mSendCount = 0;
     std::uint32_t mFailedConnectCount = 0;
-    std::uint32_t mDeniedPermitCount = 0; ///< sends to replicas that named a limit
+    std::uint32_t mDeniedPermitCount = 0; ///< send permits refused for replicas with a rate limit
 
     BootTimer mSilenceTimer;
-    Milliseconds mSilenceTimeout{0}; ///< that the timer waits for
-    Instant mFirstEventDueAt; ///< the try under way is given up then unless it has begun
+    Milliseconds mSilenceTimeout{0}; ///< duration that the timer was started with
+    Instant mFirstEventDueAt; ///< the current attempt is abandoned then if no event has arrived
     bool mIsSilenceTimerRunning = false;
     std::unique_ptr<ReplicaAttempt> mHedge;
     LinkHead mHedgeHead;
     Signal mHedgeEnded;
     bool mIsHedgeRunning = false; ///< tryHedge() has not returned
-    bool mHasHedgeTakenOver = false; ///< its first events are here, and it replaces the try
-    bool mIsHedgeCancelled = false; ///< the caller needs it no more
+    bool mHasHedgeTakenOver = false; ///< its first events are here; it replaces the current attempt
+    bool mIsHedgeCancelled = false; ///< it is no longer needed
 
-    std::uint32_t mForwardedEventCount = 0; ///< that the caller got
-    std::string_view mStopReason; ///< why no further try followed the last one
+    std::uint32_t mForwardedEventCount = 0; ///< events that were sent to the caller
+    std::string_view mStopReason; ///< why no further attempt followed the last one
     AnswerTimes mTimes;
-    ChosenReplica mLastChosen; ///< the last one
-    RequestDigest mDigest; ///< made only where it is asked for
-    bool mWasPatient = false;
+    ChosenReplica mLastChosen; ///< the replica of the last attempt
+    RequestDigest mDigest; ///< computed on first use
+    bool mWasPatient = false; ///< an attempt was expected to miss the latency goal
 };
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/gatewayserver.cpp
+++ b/src/libloomjunction/gateway/gatewayserver.cpp
@@ -25,16 +25,17 @@
 
 namespace {
 
-// Callers that hold an address answer go on coming for its lifetime and longer.
+// Callers keep using a cached address response for its lifetime and longer.
 constexpr std::chrono::milliseconds sMinDrainTime{3'000};
-// A leaving gateway that got no request for so long is not asked any more.
+// A leaving gateway without requests for this long is assumed to get no more.
 constexpr std::chrono::milliseconds sQuietTime{700};
 constexpr std::chrono::milliseconds sDrainPollInterval{50};
-// Before the platform's kill: last answers and log lines still have to leave.
+// Time before the platform kills the process, in which the last responses and log lines are sent.
 constexpr std::chrono::milliseconds sKillMargin{400};
-// Time that a request may need when the replicas are full; with less left until
-// the stop, another gateway has to take it.
+// Time that a request may need when the replicas are full. With less time left until the stop,
+// another gateway has to handle it.
 constexpr std::chrono::milliseconds sMaxRequestTime{5'000};
+// Other gateways can take the request, so the caller may retry almost at once.
 constexpr Milliseconds sLeavingRetryDelay{50};
 
 } // namespace
@@ -71,19 +72,19 @@
 void GatewayServer::applyLimits()
 {
     if (!mConfig->table()) {
-        return; // weights may be named before a configuration is known
+        return; // weights may be announced before any configuration is known
     }
-    const RequestLimits &told = mConfig->table()->config().limits;
+    const RequestLimits &configured = mConfig->table()->config().limits;
     HttpLimits limits;
-    limits.bodyBytes = told.bodyBytes;
-    limits.headerBytes = told.headerBytes;
-    limits.header = told.headerTime;
-    limits.idle = told.idleTime;
+    limits.bodyBytes = configured.bodyBytes;
+    limits.headerBytes = configured.headerBytes;
+    limits.header = configured.headerTime;
+    limits.idle = configured.idleTime;
     mServer->setLimits(limits);
     mMembers->noteChange();
 }
 
-// No call began, or none ended, so no other line tells of the request.
+// Such a request has no "call" log line, because its call did not start or did not finish.
 void GatewayServer::noteLostRequest(HttpLoss loss, std::string_view problem)
 {
     const std::string_view how = loss == HttpLoss::NotRead ? "not read whole" : "not answered";
@@ -121,13 +122,13 @@
     mServer->beginDrain();
     mMembers->noteChange();
     asio::co_spawn(co_await asio::this_coro::executor, mMembers->leave(), asio::detached);
-    const auto begun = BootClock::now();
-    const auto end = begun + mSettings.bounds.stopTime - sKillMargin;
-    mRefusesFrom = end - sMaxRequestTime;
-    while (BootClock::now() < end) {
-        const auto time = BootClock::now();
-        const bool isIdle = mInFlight == 0 && time - mLastCallAt > sQuietTime;
-        if (isIdle && time - begun > sMinDrainTime) {
+    const auto startedAt = BootClock::now();
+    const auto stopAt = startedAt + mSettings.bounds.stopTime - sKillMargin;
+    mRefusesFrom = stopAt - sMaxRequestTime;
+    while (BootClock::now() < stopAt) {
+        const auto currentTime = BootClock::now();
+        const bool isIdle = mInFlight == 0 && currentTime - mLastCallAt > sQuietTime;
+        if (isIdle && currentTime - startedAt > sMinDrainTime) {
             break;
         }
         co_await sleepFor(sDrainPollInterval);
--- a/src/libloomjunction/gateway/gatewayserver.h
+++ b/src/libloomjunction/gateway/gatewayserver.h
@@ -24,7 +24,7 @@
 class QuarantineService;
 class ReplicaService;
 
-/** Where callers' requests come in; also says whether this gateway is ready. */
+/** Accepts the requests of callers, and tells whether this gateway is ready for them. */
 class GatewayServer final : public Service
 {
 public:
@@ -37,12 +37,12 @@
     awaitable<void> drain() override;
     void stop() override;
 
-    /** Callers may be sent here. */
+    /** Whether callers may be sent to this gateway. */
     bool isReady() const;
     bool isLeaving() const { return mIsLeaving; }
-    /** What comes now could not end before the stop. */
+    /** Whether a request that arrives now might not finish before the process stops. */
     bool refusesNewRequests() const { return mIsLeaving && BootClock::now() > mRefusesFrom; }
-    /** Where requests come in, e.g. after asking for port 0. */
+    /** The address listened on, including the port that the system chose for port 0. */
     Tcp::endpoint localEndpoint() const { return mServer->localEndpoint(); }
     std::uint32_t inFlight() const { return mInFlight; }
 
@@ -62,7 +62,7 @@
     std::unique_ptr<HttpServer> mServer;
     std::uint32_t mInFlight = 0;
     BootClock::time_point mLastCallAt;
-    BootClock::time_point mRefusesFrom; ///< while leaving
+    BootClock::time_point mRefusesFrom; ///< new requests are refused after this time while leaving
     bool mIsLeaving = false;
 };
 
--- a/src/libloomjunction/gateway/metricsserver.h
+++ b/src/libloomjunction/gateway/metricsserver.h
@@ -17,7 +17,7 @@
 
 class Metrics;
 
-/** Serves the process's metrics in the text exposition format. */
+/** Serves the metrics of the process over HTTP, in the Prometheus text exposition format. */
 class MetricsServer final : public Service
 {
 public:
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -20,10 +20,11 @@
 
 namespace {
 
-// A request's way to a replica and its refusal's way back. With a deadline so much
-// before the request is given up, a replica that holds it can say that it did not run.
+// Time for a request to reach a replica and for its refusal to come back. The deadline sent
+// with a request is this much earlier than the time at which the gateway abandons it, so that
+// a replica which still has it queued can report that it was not executed.
 constexpr Milliseconds sRefusalRoundTrip{100};
-// Answers of earlier requests that may lie before ours on a kept connection.
+// Late responses to earlier requests that may precede the expected one on a reused connection.
 constexpr int sMaxStaleResponses = 2;
 constexpr std::size_t sMaxResponseBytes = std::size_t{16} * 1024 * 1024;
 
@@ -89,12 +90,14 @@
     if (link) {
         mLink = std::move(*link);
     }
-    // What was chosen has waited since, for a permit or a connection.
+    // The attempt has waited for a permit or a connection since the replica was chosen, so the
+    // state of the replica may have changed.
     const HeldBack held = mCall.parts.replicas.heldBack(mChosen.id);
     const Replica *still = mCall.parts.replicas.replicas().find(mChosen.id);
     const bool cannotServe
         = held != HeldBack::Nothing || areWeightsExpired(still->weightsVersion());
-    // The close may wait in the loop behind this, when the process stood still.
+    // After a stall of the process, the event of a caller disconnect may still be queued in the
+    // event loop.
     mCall.isCallerGone = mCall.isCallerGone || mCall.exchange.hasCallerLeft();
     if (mCall.isCallerGone || mCall.isTimedOut) {
         co_return AttemptAborted{"time was over before a replica was reached"};
@@ -120,7 +123,7 @@
     stopWatchingWeightsExpiry();
     noteFirstResponse(false);
     ReplicaService &replicas = mCall.parts.replicas;
-    // What was not sent says nothing of the replica but whether it could be reached.
+    // An attempt that sent nothing only shows whether the replica could be reached.
     const ReplicaOutcome unsent
         = mWasConnected ? ReplicaOutcome::Abandoned : ReplicaOutcome::Unreachable;
     replicas.replicas().ended(mChosen.id, mWasRequestSent ? outcomeOf(result) : unsent, now());
@@ -150,8 +153,8 @@
     co_return co_await classifyResponse(std::move(*head));
 }
 
-// Reads heads until one answers this request: a surplus answer to an earlier
-// one may stand before it on a kept connection.
+// Sends the request and reads response heads until one belongs to it: on a reused connection,
+// a surplus response to an earlier request may come first.
 awaitable<tl::expected<LinkHead, LinkError>> ReplicaAttempt::exchangeHead()
 {
     const HttpRequest &request = mCall.exchange.request();
@@ -226,7 +229,8 @@
     EventBatch batch;
     batch.last = mCall.lastEvent;
     while (batch.count == 0 && !batch.isEndOfStream) {
-        // Silence alone ends no try: the replica may be slow, and then nothing is gained.
+        // Silence alone does not end the attempt: the replica may only be slow, and ending it
+        // would gain nothing.
         const auto piece = co_await mLink->readBody(steadyTime(mCall.deadline + sMinTimeLeft));
         if (!piece) {
             co_return tl::unexpected(outcomeOfLinkError(piece.error()));
@@ -245,7 +249,7 @@
     co_return batch;
 }
 
-// A resumed stream may begin with events that the caller has.
+// Skips the events at the start of a resumed stream that the caller already has.
 void ReplicaAttempt::appendEvents(std::string_view piece, EventBatch &batch)
 {
     for (const StreamEvent &event : mSplitter.feed(piece)) {
@@ -301,7 +305,7 @@
     if (mCall.isCallerGone) {
         return AttemptAborted{"the caller left"};
     }
-    // The link's own deadline may come a moment before the call's.
+    // The deadline of the link may expire slightly before the one of the call.
     if (mCall.isTimedOut || mCall.timeLeft() < sMinTimeLeft) {
         return AttemptAborted{"time was over"};
     }
@@ -319,7 +323,8 @@
                           error == LinkError::Closed};
 }
 
-// Once for each try: its answer or first event came, or never will.
+// Reports once for each attempt, at its end at the latest, whether its response or first event
+// has arrived.
 void ReplicaAttempt::noteFirstResponse(bool hasBegun)
 {
     if (!mIsAwaitingFirstResponse) {
@@ -333,7 +338,8 @@
     }
 }
 
-// A failure may come from a part of the replica that knows nothing of its need.
+// The absence of a rate limit counts only in good responses: an error may come from a component
+// of the replica that does not know about the limit.
 void ReplicaAttempt::noteRate(const NamedRate &rate, bool isGood)
 {
     if (isGood || !std::holds_alternative<NoRate>(rate)) {
@@ -341,8 +347,9 @@
     }
 }
 
-// An answer to another request says as much of the replica as one to this request. Which
-// replica answered, the answer knows best: addresses are given away.
+// A notice in a response to another request says as much about the replica as one in the
+// response to this request. The replica id in the response takes precedence over the chosen one,
+// because an address may have been reassigned to another replica.
 void ReplicaAttempt::noteNotice(const AnswerFields &fields)
 {
     const bool isOther = !fields.replicaId.empty() && fields.replicaId != mChosen.id;
@@ -368,7 +375,8 @@
                                       : Urgency::Prompt;
     const Replica *replica = mCall.parts.replicas.replicas().find(mChosen.id);
     const std::uint64_t newest = mCall.parts.config.weights().newest(mCall.caller.model);
-    // An older version may change under the request, and either may run it.
+    // A replica with an older version may switch versions during the request, and either version
+    // may execute it; so no version is required of it.
     if (replica != nullptr && replica->weightsVersion() == newest) {
         fields.weightsVersion = newest;
     } else if (replica != nullptr) {
@@ -378,9 +386,9 @@
     return fields;
 }
 
-// A request may lie at a replica for long, as when its box stands still. The
-// replica drops it at its deadline, so it cannot begin after its weights are
-// over. A stream that runs then goes on at another replica.
+// A request may stay queued at a replica for long, for example while its box is suspended. The
+// replica drops it at its deadline, so it cannot start after its weights have expired. A stream
+// that is running at that time is resumed at another replica.
 Milliseconds ReplicaAttempt::timeUntilWeightsExpire(std::uint64_t version) const
 {
     const auto giveUp = mCall.parts.config.weights().giveUpAt(mCall.caller.model, version);
@@ -391,7 +399,7 @@
     return std::max(left, sMinTimeLeft);
 }
 
-// What has not begun on @p version by now might begin too late.
+// Whether a request that has not started on @p version by now might start after it expires.
 bool ReplicaAttempt::areWeightsExpired(std::uint64_t version) const
 {
     if (!mCall.isForEngine()) {
@@ -401,12 +409,12 @@
     return giveUp && *giveUp <= now();
 }
 
-// The deadline of a request counts from its arrival. On its way, and at a replica that
-// stands still, only the end of its connection keeps it from beginning too late.
+// The replica counts the deadline of a request from its arrival. While the request is in transit
+// or the replica is stalled, only closing the connection keeps it from starting too late.
 void ReplicaAttempt::watchWeightsExpiry()
 {
     const Replica *replica = mCall.parts.replicas.replicas().find(mChosen.id);
-    // It may have loaded newer ones since, and what waits there begins on those.
+    // The replica may have loaded a newer version since, on which queued requests start.
     mNewestWeightsSeen
         = std::max(mNewestWeightsSeen, replica == nullptr ? 0 : replica->weightsVersion());
     if (areWeightsExpired(mNewestWeightsSeen)) {
--- a/src/libloomjunction/gateway/replicaattempt.h
+++ b/src/libloomjunction/gateway/replicaattempt.h
@@ -25,40 +25,48 @@
 
 namespace Loom {
 
-/** How one try at one replica ended. */
+/** The caller has the complete response. */
 struct AttemptCompleted
 {
-}; ///< the caller has its whole answer
+};
+
+/** The replica certainly did not execute the request. */
 struct AttemptNotExecuted
 {
     std::string reason;
-}; ///< the request surely did not run there
+};
+
+/** The replica may have executed the request. */
 struct AttemptUnknown
 {
     std::string reason;
-    std::optional<HttpResponse> answer; ///< a failure of the replica's own, if it gave one
-    bool isAbandonedByGateway = false; ///< by this gateway, for no fault of the replica
-    bool isClosedByReplica = false; ///< the replica's side ended the connection
-}; ///< it may have run
+    std::optional<HttpResponse> answer; ///< the error response of the replica, if it sent one
+    bool isAbandonedByGateway = false; ///< this gateway ended it; not a fault of the replica
+    bool isClosedByReplica = false; ///< the replica's side closed the connection
+};
+
+/** The deadline passed or the caller disconnected; no further attempt follows. */
 struct AttemptAborted
 {
     std::string reason;
-}; ///< time is over, or the caller left: no further try
+};
+
+/** How one attempt at one replica ended. */
 using AttemptOutcome
     = std::variant<AttemptCompleted, AttemptNotExecuted, AttemptUnknown, AttemptAborted>;
 
-/** Whole events of a stream that the caller does not have yet. */
+/** Complete events of a stream that have not been sent to the caller yet. */
 struct EventBatch
 {
     std::string text;
-    std::optional<std::uint64_t> last; ///< id of the last one
+    std::optional<std::uint64_t> last; ///< id of the last event
     std::uint32_t count = 0;
-    bool isEndOfStream = false; ///< the stream has ended, and nothing else is here
+    bool isEndOfStream = false; ///< the stream has ended; the batch has no events then
 };
 
 /**
- * One try of a request at one replica: the connection, the request on its way and the
- * answer as it comes. The replicas' service is told of its beginning and its end.
+ * One attempt to have a request executed by one replica: it connects, sends the request and
+ * reads the response. It reports its start and its outcome to the ReplicaService.
  */
 class ReplicaAttempt
 {
@@ -70,30 +78,30 @@
 
     const ChosenReplica &chosen() const { return mChosen; }
     const ReplicaLife &incarnation() const { return mIncarnation; }
-    /** A connection was made; nothing need have been sent on it. */
+    /** Whether a connection was established, even if nothing was sent on it. */
     bool wasConnected() const { return mWasConnected; }
 
-    /** Connects; a result ends the try before anything was sent. */
+    /** Connects to the replica. Returns an outcome if the attempt ends without sending. */
     awaitable<std::optional<AttemptOutcome>> connect();
-    /** Sends the request; the head of an answer that can be passed on, or how the try ended. */
+    /** Sends the request. Returns the head of a response to forward, or the outcome. */
     awaitable<tl::expected<LinkHead, AttemptOutcome>> sendRequest();
-    /** Whether the answer that began is a stream of events. */
+    /** Whether the response is an event stream. */
     bool isStream() const { return mIsStream; }
-    /** The whole body of an answer that is no stream. */
+    /** Reads the complete body of a response that is not an event stream. */
     awaitable<tl::expected<std::string, AttemptOutcome>> readWhole();
-    /** The next events of a stream. */
+    /** Reads the next events of a stream. */
     awaitable<tl::expected<EventBatch, AttemptOutcome>> nextEvents();
-    /** Reads the next events and keeps them for nextEvents(); a result: how the try ended. */
+    /** Reads the next events and keeps them for nextEvents(). Returns an outcome on failure. */
     awaitable<std::optional<AttemptOutcome>> prefetchEvents();
 
-    /** The caller left or time is over: what is under way returns. */
+    /** Makes pending operations return after a caller disconnect or at the deadline. */
     void cancel();
-    /** Another try was first: ends this one, for no fault of its replica. */
+    /** Ends this attempt because another one was first; not a fault of the replica. */
     void cancelUnneeded();
-    /** Another try begins in place of this one, whose replica is silent. */
+    /** Ends this attempt because its replica is silent and another one takes over. */
     void cancelSilent();
 
-    /** Tells how the try ended, and gives its connection back. */
+    /** Reports the outcome and returns the connection to the pool. */
     void end(const AttemptOutcome &result);
     bool isFinished() const { return mIsFinished; }
 
@@ -116,24 +124,24 @@
     void noteFirstResponse(bool hasBegun);
     void noteRate(const NamedRate &rate, bool isGood);
     void noteNotice(const AnswerFields &fields);
-    /** Gives the try up when its weights are over and it has not begun. */
+    /** Cancels the attempt once its weights expire, unless the request has started to run. */
     void watchWeightsExpiry();
     void stopWatchingWeightsExpiry();
     bool areWeightsExpired(std::uint64_t version) const;
 
     CallState &mCall;
     const ChosenReplica mChosen;
-    ReplicaLife mIncarnation; ///< of the replica, when it was chosen; without an id: it was gone
+    ReplicaLife mIncarnation; ///< when chosen; has no id if the replica was gone by then
     std::unique_ptr<HttpLink> mLink;
     EventSplitter mSplitter;
     std::optional<EventBatch> mPrefetched;
     BootTimer mWeightsTimer;
-    std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
+    std::shared_ptr<bool> mAlive = std::make_shared<bool>(true); ///< expires with the attempt
     Instant mSentAt;
-    std::uint64_t mNewestWeightsSeen = 0; ///< the newest that the replica had while it ran
+    std::uint64_t mNewestWeightsSeen = 0; ///< newest version during the attempt
     CancelReason mCancelReason = CancelReason::None;
-    bool mIsWaitingToRun = false; ///< it runs at an engine and has not begun
-    bool mIsAwaitingFirstResponse = false; ///< it has no answer yet
+    bool mIsWaitingToRun = false; ///< sent to an engine service and not known to have started
+    bool mIsAwaitingFirstResponse = false; ///< no response or first event has arrived yet
     bool mWasConnected = false;
     bool mWasRequestSent = false;
     bool mIsStream = false;
