--- a/tests/gateway/delayingproxy.h
+++ b/tests/gateway/delayingproxy.h
@@ -17,7 +17,7 @@
 
 namespace Loom {
 
-/** A way to a process on which every byte of its answers takes some time at least. */
+/** A TCP proxy that delays every byte from the target to the client by a minimum time. */
 class DelayingProxy
 {
 public:
@@ -35,7 +35,7 @@
         std::string bytes;
     };
 
-    /** One direction of one connection. */
+    /** One direction of a proxied connection. */
     struct Direction
     {
         std::shared_ptr<Tcp::socket> from;
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -59,9 +59,9 @@
     settings.region = "r1";
     settings.peers = anyPort;
     settings.store = anyPort;
-    // Repeats are allowed from the start, which is not what is tested here.
+    // The retry budget is full from the start; tests of the budget set their own.
     settings.bounds.retries = {10.0, 100, Milliseconds(1'000)};
-    // Knowledge grows old only in tests that say so.
+    // The configuration becomes stale only in tests that lower this limit.
     settings.bounds.configTime = Milliseconds(600'000);
     settings.role = GatewaySettings{anyPort, anyPort, anyPort};
     return settings;
@@ -133,9 +133,9 @@
 
 awaitable<void> GatewayFixture::waitFor(std::function<bool()> condition)
 {
-    const auto until = std::chrono::steady_clock::now() + sTestTimeout;
+    const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
     while (!condition()) {
-        BOOST_REQUIRE(std::chrono::steady_clock::now() < until);
+        BOOST_REQUIRE(std::chrono::steady_clock::now() < deadline);
         co_await sleepFor(std::chrono::milliseconds(5));
     }
 }
--- a/tests/gateway/gatewayfixture.h
+++ b/tests/gateway/gatewayfixture.h
@@ -34,7 +34,7 @@
 
 namespace Loom {
 
-/** A store in memory, which can be away or forget its history. */
+/** An in-memory store that can become unreachable or lose its history. */
 class MemoryStore final : public StorePort
 {
 public:
@@ -44,15 +44,15 @@
     }
 
     bool isUnreachable = false;
-    bool hasLostHistory = false; ///< the next read finds its records gone
-    int readCount = 0; ///< so far, of all feeds
-    int fullReadCount = 0; ///< of those, of every key
+    bool hasLostHistory = false; ///< the next read fails because its records are gone
+    int readCount = 0; ///< number of incremental reads of all feeds so far
+    int fullReadCount = 0; ///< number of full reads of all feeds so far
     std::array<std::vector<Milliseconds>, sFeedCount>
-        requestedWaits; ///< that reads so far asked for
-    std::size_t maxRecordsPerRead = 1'000'000; ///< records that one read gives
-    Milliseconds responseDelay{0}; ///< every answer takes so long after the store looked
-    std::array<int, sFeedCount> fullReadCountByFeed{}; ///< the same by feed
-    Milliseconds fullReadDuration{0}; ///< that each of them takes
+        requestedWaits; ///< wait times that reads have requested, by feed
+    std::size_t maxRecordsPerRead = 1'000'000; ///< limit on the records that one read returns
+    Milliseconds responseDelay{0}; ///< delay between reading the log and returning the result
+    std::array<int, sFeedCount> fullReadCountByFeed{}; ///< fullReadCount by feed
+    Milliseconds fullReadDuration{0}; ///< extra time that each full read takes
 
     void write(Feed feed, std::string key, std::optional<std::string> value)
     {
@@ -135,7 +135,7 @@
     Signal mChanged;
 };
 
-/** The id of the request with this head. */
+/** Returns the request id in the header section @p head of a request. */
 inline std::string requestIdOf(const std::string &head)
 {
     constexpr std::string_view name = "Loomjunction-Request-Id: ";
@@ -143,17 +143,18 @@
     return head.substr(begin, head.find('\r', begin) - begin);
 }
 
-/** A replica that answers every request by a script, which gets the request's head. */
+/** A replica whose response to each request comes from a script. */
 class ScriptedReplica
 {
 public:
     struct Answer
     {
         std::string bytes;
-        bool closes = false;
-        std::function<bool()> holds; ///< the rest waits while it says so
+        bool closes = false; ///< closes the connection after the response
+        std::function<bool()> holds; ///< `rest` is sent once this returns false
         std::string rest;
     };
+    /** Maps the header section of a request to the response. */
     using Script = std::function<Answer(const std::string &head)>;
 
     ScriptedReplica(asio::io_context &context, Script script)
@@ -164,13 +165,14 @@
     }
 
     std::string address() const { return endpointText(mAcceptor.local_endpoint()); }
-    /** Takes no further connection, as a process that has ended. */
+    /** Stops accepting connections, like a process that has ended. */
     void end() { mAcceptor.close(); }
     int requests() const { return static_cast<int>(mHeads.size()); }
+    /** Header sections of the requests received so far. */
     const std::vector<std::string> &heads() const { return mHeads; }
-    /** Connections that were made so far. */
+    /** Number of connections accepted so far. */
     int connections() const { return mConnections; }
-    /** Connections that the other side has closed. */
+    /** Number of connections that the other side has closed. */
     int closed() const { return mClosed; }
 
 private:
@@ -220,7 +222,7 @@
     int mClosed = 0;
 };
 
-/** One gateway over a store in memory, with scripted replicas. */
+/** Test fixture that runs one gateway with an in-memory store and scripted replicas. */
 class GatewayFixture
 {
 public:
@@ -229,18 +231,18 @@
     asio::io_context context{1};
     MemoryStore store{context.get_executor()};
 
-    /** Adds a replica of @p service and its record, with @p weights loaded. */
+    /** Starts a replica of @p service with version @p weights loaded, and writes its record. */
     ScriptedReplica &addReplica(std::string id, std::string service, ScriptedReplica::Script script,
                                 std::uint64_t weights = 1);
     void writeConfig(std::uint64_t version);
 
-    /** Runs @p test on the loop until it returns, then ends the gateway. */
+    /** Runs @p test on the event loop until it returns, then stops the loop. */
     void run(std::function<awaitable<void>()> test);
-    /** The answer to one request of the account with @p key. */
+    /** Sends a request with the API key @p key to the gateway and returns the response. */
     awaitable<tl::expected<HttpResponse, HttpError>> call(std::string method, std::string path,
                                                           std::string id, std::string key = "k",
                                                           std::string deadlineMs = "6000");
-    /** Waits until @p condition holds; fails the test after a generous time. */
+    /** Waits until @p condition holds; fails the test after sTestTimeout. */
     awaitable<void> waitFor(std::function<bool()> condition);
 
     GatewayServer &front() { return mKernel.find<GatewayServer>(GatewayServer::sName); }
--- a/tests/gateway/streamtext.h
+++ b/tests/gateway/streamtext.h
@@ -14,13 +14,13 @@
 
 namespace Loom {
 
-/** One event of a replica's stream. */
+/** Text of one server-sent event. */
 inline std::string event(int id)
 {
     return "id: " + std::to_string(id) + "\ndata: e" + std::to_string(id) + "\n\n";
 }
 
-/** The head of a replica's stream that answers the request @p id. */
+/** Response head of an event stream that answers the request with the id @p id. */
 inline std::string streamHead(const std::string &id)
 {
     return "HTTP/1.1 200 OK\r\nLoomjunction-Request-Id: " + id
@@ -28,6 +28,7 @@
           "Transfer-Encoding: chunked\r\n\r\n";
 }
 
+/** Encodes @p data as one chunk of a chunked HTTP body. */
 inline std::string chunk(const std::string &data)
 {
     std::array<char, 16> size{};
--- a/tests/gateway/test_addresses.cpp
+++ b/tests/gateway/test_addresses.cpp
@@ -21,7 +21,8 @@
 
 constexpr std::size_t sGatewaysPerDataCentre = 6;
 
-// Of this process alone, so that no other connection can take the port meanwhile.
+// Each process uses a loopback address of its own, so that no other process can take the port
+// before it is listened on.
 Tcp::endpoint reserveEndpoint(asio::io_context &context)
 {
     static std::uint32_t sUsed = 0;
@@ -31,7 +32,7 @@
     return Tcp::acceptor(context, Tcp::endpoint(address, 0)).local_endpoint();
 }
 
-/** Another gateway of the fixture's store, as far as the members see it. */
+/** The membership services of another gateway that uses the store of the fixture. */
 class PeerGateway
 {
 public:
@@ -83,7 +84,7 @@
     bool mIsLeaving = false;
 };
 
-/** The fixture's gateway in z1 and others in z1 and z2, six in each data centre. */
+/** Six gateways in each of the data centres z1 and z2; the one under test is in z1. */
 class AddressFixture : public GatewayFixture
 {
 public:
@@ -110,20 +111,20 @@
         const auto response = co_await client.send(std::move(question));
         std::vector<std::string> found;
         if (response && response->status == 200) {
-            const auto told = jsonObject(response->body);
-            for (const auto &address : told.at("addresses").as_array()) {
+            const auto answer = jsonObject(response->body);
+            for (const auto &address : answer.at("addresses").as_array()) {
                 found.emplace_back(address.as_string());
             }
         }
         co_return found;
     }
 
-    /** Waits for an answer with so many addresses. */
+    /** Waits until @p count addresses are returned; gives up after 20 seconds. */
     awaitable<std::vector<std::string>> waitForAddresses(std::string dataCentre, std::size_t count)
     {
         std::vector<std::string> found;
-        const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-        while (found.size() != count && std::chrono::steady_clock::now() < until) {
+        const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+        while (found.size() != count && std::chrono::steady_clock::now() < deadline) {
             found = co_await addressesFor(dataCentre);
             co_await sleepFor(std::chrono::milliseconds(20));
         }
@@ -150,12 +151,11 @@
 
 } // namespace
 
-// Callers were told the gateways of all data centres and chose among them at
-// random, so that of three data centres' callers two thirds sent their requests
-// over links that all boxes share. One such link stood full: a request that its
-// caller had sent at 47.446 s and left at 47.582 s reached its gateway at 48.79 s,
-// which passed it to a replica within its 12 ms. No gateway can know so early that
-// the caller has left; the request must not lie on such a link.
+// When callers got the gateways of all data centres and chose one at random, two thirds of the
+// callers in three data centres sent their requests over links that all boxes share. On one
+// congested link, a request sent at 47.446 s and abandoned by its caller at 47.582 s reached its
+// gateway at 48.79 s, which forwarded it to a replica within 12 ms. A gateway cannot know that
+// early that the caller has left, so requests must not be queued on such a link.
 BOOST_AUTO_TEST_CASE(callers_get_the_gateways_of_their_own_data_centre)
 {
     AddressFixture fixture;
@@ -164,7 +164,7 @@
         const auto near = co_await fixture.waitForAddresses("z1", sGatewaysPerDataCentre);
         BOOST_TEST(near.size() == sGatewaysPerDataCentre);
         BOOST_TEST(countOf(near, "10.0.2.") == 0);
-        // Also where a gateway elsewhere is asked.
+        // A gateway in another data centre gives the same answer.
         const auto far = co_await fixture.waitForAddresses("z2", sGatewaysPerDataCentre);
         BOOST_TEST(far.size() == sGatewaysPerDataCentre);
         BOOST_TEST(countOf(far, "10.0.2.") == sGatewaysPerDataCentre);
--- a/tests/gateway/test_cancelledrequests.cpp
+++ b/tests/gateway/test_cancelledrequests.cpp
@@ -25,7 +25,7 @@
         + std::to_string(bodyBytes) + "\r\n\r\n" + std::string(bodyBytes, 'b');
 }
 
-/** A replica that reads a request's head and then nothing until it is told to. */
+/** A replica that reads the head of a request and pauses before it reads the body. */
 class PausedReplica
 {
 public:
@@ -44,9 +44,9 @@
         mMayRead.notify();
     }
 
-    int heads = 0;
-    std::size_t bytes = 0; ///< read behind the heads
-    std::vector<boost::system::error_code> ends; ///< how connections ended
+    int headCount = 0; ///< requests whose head was read
+    std::size_t bodyBytes = 0; ///< number of body bytes read
+    std::vector<boost::system::error_code> endErrors; ///< errors that ended the connections
 
 private:
     awaitable<void> accept()
@@ -68,23 +68,23 @@
         auto [headError, size] = co_await asio::async_read_until(
             *socket, asio::dynamic_buffer(buffer), blank, sAsValue);
         if (headError) {
-            ends.push_back(headError);
+            endErrors.push_back(headError);
             co_return;
         }
-        ++heads;
+        ++headCount;
         co_await asio::async_write(*socket, asio::buffer(mAnswer), sAsValue);
         while (!mIsReading) {
             co_await mMayRead.waitFor(sTestTimeout);
         }
-        bytes += buffer.size() - size;
+        bodyBytes += buffer.size() - size;
         boost::system::error_code end;
         std::string piece(std::size_t{64} * 1024, '\0');
         while (!end) {
             auto [error, count] = co_await socket->async_read_some(asio::buffer(piece), sAsValue);
-            bytes += count;
+            bodyBytes += count;
             end = error;
         }
-        ends.push_back(end);
+        endErrors.push_back(end);
     }
 
     Tcp::acceptor mAcceptor;
@@ -93,7 +93,7 @@
     bool mIsReading = false;
 };
 
-/** A gateway with one such replica, and a caller. */
+/** A gateway with one paused replica and one caller. */
 class CancelFixture : public GatewayFixture
 {
 public:
@@ -114,13 +114,13 @@
         BOOST_REQUIRE(connected.has_value());
         caller.emplace(std::move(*connected));
         co_await asio::async_write(*caller, asio::buffer(request), sAsValue);
-        co_await waitFor([this] { return replica.heads == 1; });
+        co_await waitFor([this] { return replica.headCount == 1; });
     }
 
     awaitable<void> waitForConnectionEnd()
     {
         replica.resumeReading();
-        co_await waitFor([this] { return replica.ends.size() == 1; });
+        co_await waitFor([this] { return replica.endErrors.size() == 1; });
     }
 
     PausedReplica replica;
@@ -129,10 +129,9 @@
 
 } // namespace
 
-// An exchange that is given up was closed in the ordinary way: what had not left
-// the box yet, on a full link or of a long body, was still delivered, and the
-// request then ran for a caller that had left. The replica read all that the
-// system held for it, and an end as behind a whole request.
+// The connection of a cancelled request must be reset. With a normal close, data that had not left
+// the box yet, because of a congested link or a long body, was still delivered. The replica read
+// it and an end of file as after a complete request, and executed it for a caller that had left.
 BOOST_AUTO_TEST_CASE(a_cancelled_request_is_reset_without_sending_its_buffered_data)
 {
     CancelFixture fixture;
@@ -141,8 +140,8 @@
         fixture.caller->close();
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
         co_await fixture.waitForConnectionEnd();
-        BOOST_TEST((fixture.replica.ends.front() == asio::error::connection_reset));
-        BOOST_TEST(fixture.replica.bytes < sLargeBodyBytes);
+        BOOST_TEST((fixture.replica.endErrors.front() == asio::error::connection_reset));
+        BOOST_TEST(fixture.replica.bodyBytes < sLargeBodyBytes);
     });
 }
 
@@ -154,7 +153,7 @@
         fixture.caller->close();
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
         co_await fixture.waitForConnectionEnd();
-        BOOST_TEST((fixture.replica.ends.front() == asio::error::connection_reset));
+        BOOST_TEST((fixture.replica.endErrors.front() == asio::error::connection_reset));
     });
 }
 
@@ -171,13 +170,13 @@
         fixture.caller->close();
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
         co_await fixture.waitForConnectionEnd();
-        BOOST_TEST((fixture.replica.ends.front() == asio::error::connection_reset));
+        BOOST_TEST((fixture.replica.endErrors.front() == asio::error::connection_reset));
     });
 }
 
 BOOST_AUTO_TEST_CASE(a_connection_is_closed_normally_after_a_complete_response)
 {
-    // It may not be kept, so it is closed once the answer has been passed on.
+    // "Connection: close" prevents reuse, so the gateway closes it after forwarding the response.
     CancelFixture fixture("HTTP/1.1 200 OK\r\nLoomjunction-Response-Signature: s\r\n"
                           "Loomjunction-Request-Id: id1\r\nConnection: close\r\n"
                           "Content-Length: 0\r\n\r\n");
@@ -185,6 +184,6 @@
         co_await fixture.sendRequest(requestText("/long/a", 0));
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
         co_await fixture.waitForConnectionEnd();
-        BOOST_TEST((fixture.replica.ends.front() == asio::error::eof));
+        BOOST_TEST((fixture.replica.endErrors.front() == asio::error::eof));
     });
 }
--- a/tests/gateway/test_gateway.cpp
+++ b/tests/gateway/test_gateway.cpp
@@ -48,14 +48,14 @@
     return {streamHead(requestIdOf(head)) + chunk(event(1)) + chunk(event(2)) + "0\r\n\r\n", false};
 }
 
-void setWeightsGracePeriod(GatewayFixture &fixture, Milliseconds time)
+void setWeightsGracePeriod(GatewayFixture &fixture, Milliseconds gracePeriod)
 {
     DirectBounds bounds;
-    bounds.weightsTime = time;
+    bounds.weightsTime = gracePeriod;
     fixture.config().setBounds(bounds);
 }
 
-/** Names newer weights than those of the first replicas, once these have requests. */
+/** Announces version 2 of the weights; replicas have version 1 unless they are added with 2. */
 awaitable<void> publishNewerWeights(GatewayFixture &fixture)
 {
     fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
@@ -122,9 +122,9 @@
     });
 }
 
-// The gateway gave its metrics names with the prefix and suffix that are added to every
-// name when they are shown. So /metrics showed loom_loom_calls_total_total where the
-// operators' pages name loom_calls_total, and whoever asked for that found nothing.
+// The exposition adds a prefix and a suffix to every metric name. When the gateway passed names
+// that already had them, /metrics showed loom_loom_calls_total_total, and queries for the
+// documented loom_calls_total found nothing.
 BOOST_AUTO_TEST_CASE(metrics_are_exposed_under_their_documented_names)
 {
     GatewayFixture fixture;
@@ -167,7 +167,8 @@
         const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 503);
         BOOST_TEST(!response->header("Retry-After").empty());
-        // It ran nowhere, so another replica was asked; the route allows two.
+        // No replica executed the request, so it was sent to the other one; the route allows two
+        // attempts.
         BOOST_TEST(first.requests() == 1);
         BOOST_TEST(second.requests() == 1);
     });
@@ -211,7 +212,7 @@
     const auto script = [&](const std::string &head) -> ScriptedReplica::Answer {
         const std::string begin = streamHead(requestIdOf(head));
         if (++sends == 1) {
-            // It breaks off within its third event.
+            // The connection is closed within the third event.
             return {begin + chunk(event(1)) + chunk(event(2)) + chunk("id: 3\nda"), true};
         }
         BOOST_TEST(head.find("Last-Event-Id: 2") != std::string::npos);
@@ -254,7 +255,7 @@
         co_await waitUntilReady(fixture, 1);
         const auto response = co_await fixture.call("GET", "/brief/a", "id1");
         BOOST_TEST(response->status == 504);
-        // The replica hears of it, too.
+        // The connection to the replica is closed as well.
         co_await fixture.waitFor([&] { return replica.closed() == 1; });
     });
 }
@@ -270,7 +271,7 @@
         co_await waitUntilReady(fixture, 1);
         const Tcp::endpoint address = fixture.front().localEndpoint();
         auto caller = co_await connectWithin(address, std::chrono::seconds(5));
-        // Nothing but the caller's leaving can end it while this test waits.
+        // The timeout of the route is longer than the test, so only the disconnect can end it.
         const std::string request = "POST /long/a HTTP/1.1\r\nHost: h\r\n"
                                     "Loomjunction-Request-Id: id1\r\n"
                                     "Authorization: Token k\r\nContent-Length: 0\r\n\r\n";
@@ -289,10 +290,10 @@
     ScriptedReplica &replica = fixture.addReplica("i-1", "plain", succeeds);
     fixture.run([&]() -> awaitable<void> {
         co_await waitUntilReady(fixture, 1);
-        // Leaves a kept connection, so that the way to the replica takes no time.
+        // Leaves a pooled connection, so that later requests need not connect to the replica.
         const auto first = co_await fixture.call("POST", "/once/a", "first");
         BOOST_REQUIRE(first);
-        // The gateway stands still while these come and go.
+        // These block the event loop, so the gateway sees the callers only after they have left.
         constexpr int callers = 5;
         for (int caller = 0; caller < callers; ++caller) {
             asio::io_context own{1};
@@ -305,7 +306,7 @@
             socket.shutdown(Tcp::socket::shutdown_send);
             socket.close();
         }
-        // Accepted after those, so it is answered after them.
+        // This request is accepted after those, so it is answered after them.
         const auto after = co_await fixture.call("POST", "/once/a", "after");
         BOOST_REQUIRE(after);
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
@@ -318,14 +319,14 @@
     GatewayFixture fixture;
     fixture.addReplica("i-1", "plain", succeeds);
     fixture.run([&]() -> awaitable<void> {
-        // Nothing is known yet: that is no reason to say that a route does not exist.
+        // Without a configuration, the gateway cannot tell that a route does not exist.
         const auto early = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(early->status == 503);
         fixture.writeConfig(5);
         co_await waitUntilReady(fixture, 1);
         const auto missing = co_await fixture.call("POST", "/nowhere/a", "id2");
         BOOST_TEST(missing->status == 404);
-        fixture.writeConfig(4); // an older one that comes late
+        fixture.writeConfig(4); // an older version that arrives late
         co_await fixture.waitFor(
             [&] { return fixture.feeds().book(Feed::Operators).nextOffset() == 2; });
         BOOST_TEST(fixture.config().table()->version() == 5U);
@@ -336,10 +337,10 @@
     });
 }
 
-// Gateways answered 404 within 6 to 8 ms from a configuration whose successor had been
-// accepted 3.007 s before, where 3.0 s are allowed. They counted knowledge as old after
-// 3 s on every deployment, also where 2 s are allowed. Whoever may not know the newest
-// configuration says that the caller should come back.
+// Gateways responded 404 within 6 to 8 ms based on a configuration whose successor had been
+// accepted 3.007 s earlier, where 3.0 s are allowed. They considered a configuration stale after
+// 3 s in every deployment, even where only 2 s are allowed. A gateway that may not have the newest
+// configuration must tell the caller to retry.
 BOOST_AUTO_TEST_CASE(a_stale_configuration_causes_no_permanent_errors)
 {
     for (const Milliseconds bound : {Milliseconds(1'000), Milliseconds(2'000)}) {
@@ -359,7 +360,7 @@
             BOOST_TEST(unknown->status == 503);
             const auto known = co_await fixture.call("POST", "/once/a", "id3");
             BOOST_TEST(known->status == 200);
-            // The same knowledge is fresh enough where much more is allowed.
+            // The same configuration is fresh enough under a much higher limit.
             bounds.configTime = Milliseconds(600'000);
             fixture.config().setBounds(bounds);
             missing = co_await fixture.call("POST", "/nowhere/a", "id4");
@@ -370,8 +371,9 @@
     }
 }
 
-// Where all is well, knowledge must stay younger than the bound, however short that is:
-// a store that nothing is written to answers after the wait that it was asked for.
+// While the store is reachable, the configuration must stay younger than the limit, however short
+// that is. A store without new records responds only after the requested wait, so the wait must be
+// short enough.
 BOOST_AUTO_TEST_CASE(an_idle_store_is_polled_often_enough_for_a_short_configuration_age_limit)
 {
     const Milliseconds bound{1'200};
@@ -391,7 +393,7 @@
 
 BOOST_AUTO_TEST_CASE(a_request_for_older_weights_gets_a_deadline_before_they_expire)
 {
-    constexpr int weightsMs = 6'000; // the caller waits as long
+    constexpr int weightsMs = 6'000; // equal to the deadline of the caller
     GatewayFixture fixture;
     fixture.writeConfig(1);
     const ScriptedReplica &replica = fixture.addReplica(
@@ -420,11 +422,10 @@
     });
 }
 
-// Two requests on older weights were sent in time and began 22 and 29 ms after these
-// were over: they had lain on the way to the replica for 1.50 s. The deadline that a
-// request is sent with counts from its arrival, so nothing ended them on the way, nor
-// would anything end one whose replica stands still, or that was sent before the newer
-// weights were named.
+// Two requests for older weights were sent in time but started 22 and 29 ms after the weights had
+// expired, because they took 1.50 s to reach the replica. A replica counts the deadline of a
+// request from its arrival, so it does not end a request in transit, at a stalled replica, or sent
+// before the newer weights were announced.
 BOOST_AUTO_TEST_CASE(a_request_not_started_when_its_weights_expire_moves_to_another_replica)
 {
     GatewayFixture fixture;
@@ -455,9 +456,9 @@
         BOOST_TEST(response->body == event(1) + event(2));
         BOOST_REQUIRE(newer != nullptr);
         BOOST_TEST(newer->requests() == 1);
-        // The replica had heard that the request was given up before another got it.
+        // The request was cancelled at the first replica before it was sent to another.
         BOOST_TEST(closedBefore == 1);
-        // Nothing that it did ended the request.
+        // The cancellation does not count as a failure of the replica.
         BOOST_TEST(fixture.replicas().replicas().find("i-1")->failures == 0U);
         BOOST_TEST(fixture.replicas().replicas().find("i-1")->failureRate == 0);
     });
@@ -489,8 +490,7 @@
     });
 }
 
-// A process may stand still, or wait for a connection, between the choice of a replica and
-// the sending.
+// The process may stall or wait for a connection between choosing a replica and sending.
 BOOST_AUTO_TEST_CASE(a_request_not_sent_before_its_weights_expire_is_refused)
 {
     GatewayFixture fixture;
@@ -503,7 +503,7 @@
         asio::co_spawn(
             fixture.context,
             [&]() -> awaitable<void> {
-                // The replica is chosen, the connection to it is being made.
+                // Wait until the replica is chosen and the connection to it is being established.
                 while (fixture.replicas().replicas().find("i-1")->inFlight == 0) {
                     co_await asio::post(fixture.context, sAsValue);
                 }
@@ -522,7 +522,7 @@
 {
     GatewayFixture fixture;
     fixture.writeConfig(1);
-    const auto isOver = [&] {
+    const auto areWeightsExpired = [&] {
         const auto over = fixture.config().weights().overAt("m", 1);
         return over && now() > *over;
     };
@@ -530,7 +530,8 @@
         = fixture.addReplica("i-1", "engine", [&](const std::string &head) {
               const std::string begin = streamHead(requestIdOf(head)) + chunk(event(1));
               const std::string rest = chunk(event(2)) + "0\r\n\r\n";
-              return ScriptedReplica::Answer{begin, false, [&] { return !isOver(); }, rest};
+              return ScriptedReplica::Answer{begin, false, [&] { return !areWeightsExpired(); },
+                                             rest};
           });
     fixture.run([&]() -> awaitable<void> {
         co_await waitUntilReady(fixture, 1);
@@ -547,7 +548,7 @@
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->body == event(1) + event(2));
         BOOST_TEST(older.requests() == 1);
-        BOOST_TEST(isOver());
+        BOOST_TEST(areWeightsExpired());
     });
 }
 
@@ -592,11 +593,11 @@
             asio::detached);
         co_await fixture.waitFor([&] { return fixture.front().isLeaving(); });
         BOOST_TEST(!fixture.front().isReady());
-        // Callers that have not heard of it yet are still served.
+        // Callers that do not know about the shutdown yet are still served.
         const auto response = co_await fixture.call("POST", "/once/a", "id1");
         BOOST_TEST(response->status == 200);
         BOOST_TEST(response->header("Connection") == "close");
-        // Later ones could not end before the stop: they ran nowhere.
+        // Later requests might not finish before the stop, so they are not executed.
         co_await fixture.waitFor([&] { return fixture.front().refusesNewRequests(); });
         const auto late = co_await fixture.call("POST", "/once/a", "id2");
         BOOST_TEST((!late || late->status == 503));
--- a/tests/suspended/test_suspended.cpp
+++ b/tests/suspended/test_suspended.cpp
@@ -6,10 +6,9 @@
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-// A box may be suspended for seconds. The monotonic clock stands still meanwhile, and every
-// age and bound of ours was counted by it: after a sleep of nine seconds a gateway took
-// weights that were over for good ones, a configuration of long ago for the one in force,
-// and a connection that its replica had closed for one that can be used.
+// A box may be suspended for seconds, during which the monotonic clock stops. When all ages and
+// limits were measured with that clock, a gateway that had been suspended for nine seconds used
+// expired weights, a stale configuration, and a connection that the replica had already closed.
 
 #define BOOST_TEST_MODULE suspended
 #include <boost/test/unit_test.hpp>
@@ -29,7 +28,7 @@
     return std::chrono::steady_clock::now().time_since_epoch() + sSuspendedTime;
 }
 
-/** Boot time is the monotonic one and what the box slept. */
+/** Replaces the boot clock by the monotonic clock plus a simulated suspension time. */
 class SuspendedClock
 {
 public:
@@ -40,7 +39,7 @@
     }
     ~SuspendedClock() { BootClock::setSource(nullptr); }
 
-    void sleep(std::chrono::seconds span) { sSuspendedTime += span; }
+    void suspend(std::chrono::seconds duration) { sSuspendedTime += duration; }
 };
 
 std::string answerTo(const std::string &head, const std::string &more = "")
@@ -70,7 +69,7 @@
 
 BOOST_AUTO_TEST_CASE(weights_that_expired_during_a_suspension_start_no_request)
 {
-    SuspendedClock sleeper;
+    SuspendedClock clock;
     GatewayFixture fixture;
     fixture.writeConfig(1);
     ScriptedReplica &replica = fixture.addReplica("i-1", "engine", succeeds);
@@ -83,7 +82,7 @@
         fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
         co_await fixture.waitFor(
             [&fixture] { return fixture.config().weights().newest("m") == 2; });
-        sleeper.sleep(std::chrono::seconds(9));
+        clock.suspend(std::chrono::seconds(9));
         const auto response = co_await fixture.call("POST", "/patient/a", "id1");
         BOOST_TEST(response->status == 503);
         BOOST_TEST(replica.requests() == 0);
@@ -92,7 +91,7 @@
 
 BOOST_AUTO_TEST_CASE(a_configuration_from_before_a_suspension_causes_no_permanent_errors)
 {
-    SuspendedClock sleeper;
+    SuspendedClock clock;
     GatewayFixture fixture;
     fixture.writeConfig(1);
     fixture.addReplica("i-1", "plain", succeeds);
@@ -104,7 +103,7 @@
         const auto before = co_await fixture.call("POST", "/nowhere/a", "id1");
         BOOST_TEST(before->status == 404);
         fixture.store.isUnreachable = true;
-        sleeper.sleep(std::chrono::seconds(61));
+        clock.suspend(std::chrono::seconds(61));
         const auto after = co_await fixture.call("POST", "/nowhere/a", "id2");
         BOOST_TEST(after->status == 503);
     });
@@ -112,7 +111,7 @@
 
 BOOST_AUTO_TEST_CASE(a_connection_idle_over_a_suspension_is_not_reused)
 {
-    SuspendedClock sleeper;
+    SuspendedClock clock;
     GatewayFixture fixture;
     fixture.writeConfig(1);
     ScriptedReplica &replica = fixture.addReplica("i-1", "plain", keepsAliveTwoSeconds);
@@ -121,7 +120,7 @@
         co_await fixture.call("POST", "/once/a", "id1");
         co_await fixture.call("POST", "/once/a", "id2");
         BOOST_TEST(replica.closed() == 0);
-        sleeper.sleep(std::chrono::seconds(3));
+        clock.suspend(std::chrono::seconds(3));
         const auto response = co_await fixture.call("POST", "/once/a", "id3");
         BOOST_TEST(response->status == 200);
         co_await fixture.waitFor([&] { return replica.requests() == 3; });
@@ -129,11 +128,11 @@
     });
 }
 
-// The caller's time ended while the box slept: its end comes with the wake, and not as much
-// later as the sleep was long.
+// If the deadline of a caller passes while the box is suspended, the call ends on resume and not
+// later by the duration of the suspension.
 BOOST_AUTO_TEST_CASE(a_deadline_that_passed_during_a_suspension_ends_the_call_on_resume)
 {
-    SuspendedClock sleeper;
+    SuspendedClock clock;
     GatewayFixture fixture;
     fixture.writeConfig(1);
     ScriptedReplica &replica = fixture.addReplica("i-1", "plain", [](const std::string &) {
@@ -141,17 +140,17 @@
     });
     fixture.run([&]() -> awaitable<void> {
         co_await waitUntilReady(fixture);
-        bool isSlept = false;
+        bool wasSuspended = false;
         asio::co_spawn(
             fixture.context,
             [&]() -> awaitable<void> {
                 co_await fixture.waitFor([&] { return replica.requests() == 1; });
-                sleeper.sleep(std::chrono::hours(1));
-                isSlept = true;
+                clock.suspend(std::chrono::hours(1));
+                wasSuspended = true;
             },
             asio::detached);
         const auto response = co_await fixture.call("POST", "/long/a", "id1", "k", "300000");
-        BOOST_TEST(isSlept);
+        BOOST_TEST(wasSuspended);
         BOOST_REQUIRE(response.has_value());
         BOOST_TEST(response->status == 504);
     });
@@ -159,7 +158,7 @@
 
 BOOST_AUTO_TEST_CASE(a_suspension_is_reported_with_its_duration)
 {
-    SuspendedClock sleeper;
+    SuspendedClock clock;
     asio::io_context context{1};
     Metrics metrics;
     Kernel kernel(context.get_executor());
@@ -170,7 +169,7 @@
         context,
         [&]() -> awaitable<void> {
             co_await sleepFor(std::chrono::milliseconds(1));
-            sleeper.sleep(std::chrono::seconds(4));
+            clock.suspend(std::chrono::seconds(4));
             while (!watch.lastSleep()) {
                 co_await sleepFor(std::chrono::milliseconds(5));
             }
--- a/tests/wholeanswers/test_wholeanswers.cpp
+++ b/tests/wholeanswers/test_wholeanswers.cpp
@@ -16,17 +16,16 @@
 
 using namespace Loom;
 
-// A caller's stream ended without its end, and its replica had not broken it off: it had
-// said nothing for 1.2 s, and its connection was closed here before anybody knew whether
-// another replica could go on. The second send was used, or was refused, or the repeats
-// of the window were spent. A request that had no event yet was answered 502 after 1.2 s
-// with {"error":"silent"}, and its replica's first event was due 0.3 s later. Of 150 streams
-// whose events lay in the gateway's sockets after it had stood still for 2.5 s, 23 were
-// cut: the loop takes 128 sockets a turn, and then its timers.
+// A gateway cut off streams whose replicas were only slow. After 1.2 s of silence it closed the
+// connection before it knew whether another replica could continue; the second send had been used
+// already or was refused, or the retry budget was spent. A request without a first event got
+// 502 {"error":"silent"} after 1.2 s although its event was due 0.3 s later. After a stall of
+// 2.5 s, 23 of 150 streams were cut although their events were waiting in the sockets: the event
+// loop reads 128 sockets per iteration and then runs its timers.
 
 namespace {
 
-// Longer than after which a replica counts as silent on the routes used here.
+// Longer than the silence timeout on the routes used here.
 constexpr Milliseconds sPause{1'500};
 const std::string sPath = "/quick/a";
 
@@ -39,7 +38,7 @@
     return [until] { return now() < until; };
 }
 
-/** Begins with the event @p from, is silent for a while, and ends with the next one. */
+/** Sends the event @p from, pauses for sPause, and ends the stream with the next event. */
 Answer pausesAfterFirstEvent(const std::string &head, int from = 1)
 {
     return {streamHead(requestIdOf(head)) + chunk(event(from)), false, duringPause(),
@@ -62,7 +61,7 @@
     return {"", false};
 }
 
-Answer closesConnection(const std::string &head)
+Answer closesAfterFirstEvent(const std::string &head)
 {
     return {streamHead(requestIdOf(head)) + chunk(event(1)), true};
 }
@@ -74,14 +73,17 @@
             false};
 }
 
-/** Goes on behind the first event. */
+/** Resumes the stream after the first event. */
 Answer resumesAfterFirstEvent(const std::string &head)
 {
     BOOST_TEST(head.find("Last-Event-Id: 1") != std::string::npos);
     return {streamHead(requestIdOf(head)) + chunk(event(2)) + sLastChunk, false};
 }
 
-/** Two replicas; the first and the second request that come to either get these answers. */
+/**
+ * Two replicas. The first request to either of them is handled by one script, later ones by the
+ * other script.
+ */
 class TwoReplicaFixture : public GatewayFixture
 {
 public:
@@ -171,8 +173,9 @@
 
 BOOST_AUTO_TEST_CASE(a_paused_resumed_stream_completes)
 {
-    TwoReplicaFixture fixture(
-        closesConnection, [](const std::string &head) { return pausesAfterFirstEvent(head, 2); });
+    TwoReplicaFixture fixture(closesAfterFirstEvent, [](const std::string &head) {
+        return pausesAfterFirstEvent(head, 2);
+    });
     expectWholeResponse(fixture, sPath, event(1) + event(2) + event(3));
     BOOST_TEST(fixture.sends == 2);
 }
@@ -218,7 +221,7 @@
         const auto response = co_await fixture.call("POST", sPath, "id1");
         checkWholeResponse(response, sTwoEventBody);
         BOOST_TEST(fixture.sends == 2);
-        // The other one hears that it works for nobody.
+        // The connection to the other replica is closed.
         co_await fixture.waitFor([&] { return fixture.closed() == 1; });
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 0; });
     });
@@ -269,10 +272,10 @@
     });
 }
 
-// Requests at replicas that stood still waited for a first event until their callers left,
-// 2.4 s after they had come: 44 of 53 calls that ended so within two seconds had no event
-// (outcome "caller left", events 0, tookMs 2,400). Nobody can tell a replica that stands
-// still of it. A caller that is told in time may try again.
+// Requests at stalled replicas waited for a first event until their callers disconnected, 2.4 s
+// after arrival: 44 of 53 calls that ended that way within two seconds had no event (outcome
+// "caller left", events 0, tookMs 2,400). A stalled replica cannot be told of the disconnect. A
+// caller that gets an error in time may retry.
 BOOST_AUTO_TEST_CASE(a_request_without_a_first_event_is_answered_before_its_caller_gives_up)
 {
     for (const std::string &path : {sPath, std::string("/quickonce/a")}) {
@@ -289,7 +292,7 @@
 
 namespace {
 
-/** A replica on a loop of its own, which goes on while the gateway stands still. */
+/** A replica with its own thread and event loop, which keeps running while the gateway stalls. */
 class ThreadedReplica
 {
 public:
@@ -319,15 +322,15 @@
 
 } // namespace
 
-// Many streams at once, since the loop hears of some of its sockets only after its timers.
+// This needs many streams: an event loop iteration reads only some sockets before it runs timers.
 BOOST_AUTO_TEST_CASE(an_event_loop_stall_does_not_count_as_replica_silence)
 {
     constexpr int streams = 150;
     GatewayFixture fixture;
     fixture.writeConfig(1);
-    std::atomic<int> begun{0};
+    std::atomic<int> started{0};
     const Script script = [&](const std::string &head) {
-        ++begun;
+        ++started;
         const Instant until = now() + Milliseconds(600);
         return Answer{streamHead(requestIdOf(head)) + chunk(event(1)), false,
                       [until] { return now() < until; }, chunk(event(2)) + sLastChunk};
@@ -336,7 +339,7 @@
     ThreadedReplica second(script);
     fixture.store.write(Feed::Replicas, "i-1", first.record());
     fixture.store.write(Feed::Replicas, "i-2", second.record());
-    int whole = 0;
+    int completed = 0;
     int ended = 0;
     fixture.run([&]() -> awaitable<void> {
         co_await fixture.waitFor([&] {
@@ -345,27 +348,29 @@
         for (int index = 0; index < streams; ++index) {
             asio::co_spawn(
                 fixture.context,
-                [&fixture, &whole, &ended, index]() -> awaitable<void> {
+                [&fixture, &completed, &ended, index]() -> awaitable<void> {
                     const std::string id = "id" + std::to_string(index);
                     const auto response = co_await fixture.call("POST", sPath, id);
-                    whole += response && response->status == 200 && response->body == sTwoEventBody;
+                    completed
+                        += response && response->status == 200 && response->body == sTwoEventBody;
                     ++ended;
                 },
                 asio::detached);
         }
-        co_await fixture.waitFor([&] { return begun == streams; });
+        co_await fixture.waitFor([&] { return started == streams; });
         std::this_thread::sleep_for(std::chrono::milliseconds(2'500));
         co_await fixture.waitFor([&] { return ended == streams; });
-        BOOST_TEST(whole == streams);
-        BOOST_TEST(begun == streams); // none was sent again
+        BOOST_TEST(completed == streams);
+        BOOST_TEST(started == streams); // none was retried
     });
 }
 
-// A caller got its first event twice, from each of two replicas that began at the same time: the
-// standby's events came while the head of the first one's answer was on its way to the caller.
+// A caller got its first event twice, once from each of two replicas that started at the same
+// time: the events of the hedge arrived while the gateway was still writing the response head of
+// the first attempt to the caller.
 BOOST_AUTO_TEST_CASE(only_one_of_two_replicas_that_start_at_once_provides_the_response)
 {
-    constexpr int streams = 6; // that two replicas of four slots take twice
+    constexpr int streams = 6; // two replicas with four slots each can take every stream twice
     GatewayFixture fixture;
     fixture.writeConfig(1);
     std::atomic<bool> isReleased{false};
@@ -380,7 +385,7 @@
     ThreadedReplica second(script);
     fixture.store.write(Feed::Replicas, "i-1", first.record());
     fixture.store.write(Feed::Replicas, "i-2", second.record());
-    int whole = 0;
+    int completed = 0;
     int ended = 0;
     fixture.run([&]() -> awaitable<void> {
         co_await fixture.waitFor([&] {
@@ -389,20 +394,21 @@
         for (int index = 0; index < streams; ++index) {
             asio::co_spawn(
                 fixture.context,
-                [&fixture, &whole, &ended, index]() -> awaitable<void> {
+                [&fixture, &completed, &ended, index]() -> awaitable<void> {
                     const std::string id = "id" + std::to_string(index);
                     const auto response = co_await fixture.call("POST", sPath, id);
-                    whole += response && response->status == 200 && response->body == sTwoEventBody;
+                    completed
+                        += response && response->status == 200 && response->body == sTwoEventBody;
                     ++ended;
                 },
                 asio::detached);
         }
         co_await fixture.waitFor([&] { return sends == 2 * streams; });
         isReleased = true;
-        // Both answers of each lie there when the gateway's loop looks again.
+        // Both responses to each request have arrived when the gateway's event loop runs again.
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
         co_await fixture.waitFor([&] { return ended == streams; });
-        BOOST_TEST(whole == streams);
+        BOOST_TEST(completed == streams);
     });
 }
 
@@ -425,7 +431,7 @@
                 co_await fixture.waitFor([&] { return fixture.front().inFlight() == 1; });
                 constexpr std::uint64_t last = 60;
                 for (std::uint64_t version = 2; version <= last; ++version) {
-                    // Every other one has no routes, services or accounts at all.
+                    // Every second configuration has no routes, services or accounts.
                     if (version % 2 == 0) {
                         fixture.writeConfig(version);
                     } else {
@@ -444,8 +450,8 @@
     });
 }
 
-// Nobody was told of a handler that ended by an exception: its caller's connection was
-// closed without an answer, and no line was logged.
+// An exception in a request handler went unreported: the connection of the caller was closed
+// without a response, and nothing was logged.
 BOOST_AUTO_TEST_CASE(a_request_whose_handler_throws_is_answered_and_reported)
 {
     asio::io_context context{1};
