--- /dev/null
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -0,0 +1,441 @@
+/*
+ * replicaattempt.cpp
+ * Copyright 2026, the loomjunction authors
+ *
+ * This file is part of loomjunction (libloomjunction).
+ * SPDX-License-Identifier: BSD-2-Clause
+ */
+
+#include "replicaattempt.h"
+
+#include "directconfig.h"
+#include "jsonlog.h"
+#include "metrics.h"
+#include "overload.h"
+#include "replicaservice.h"
+
+#include <algorithm>
+
+namespace Loom {
+
+namespace {
+
+// Time for a request to reach a replica and for its refusal to come back. The deadline sent
+// with a request is this much earlier than the time at which the gateway abandons it, so that
+// a replica which still has it queued can report that it was not executed.
+constexpr Milliseconds sRefusalRoundTrip{100};
+// Late responses to earlier requests that may precede the expected one on a reused connection.
+constexpr int sMaxStaleResponses = 2;
+constexpr std::size_t sMaxResponseBytes = std::size_t{16} * 1024 * 1024;
+
+std::string_view linkErrorName(LinkError error)
+{
+    switch (error) {
+    case LinkError::NotConnected:
+        return "not connected";
+    case LinkError::Closed:
+        return "connection closed";
+    case LinkError::Malformed:
+        return "no proper answer";
+    case LinkError::TimedOut:
+        return "silent";
+    case LinkError::Cancelled:
+        return "cancelled";
+    }
+    return "unknown";
+}
+
+ReplicaOutcome outcomeOf(const AttemptOutcome &result)
+{
+    return std::visit(Overload{
+                          [](const AttemptCompleted &) { return ReplicaOutcome::Answered; },
+                          [](const AttemptNotExecuted &) { return ReplicaOutcome::Refused; },
+                          [](const AttemptUnknown &failed) {
+                              if (failed.isAbandonedByGateway) {
+                                  return ReplicaOutcome::Abandoned;
+                              }
+                              return failed.answer ? ReplicaOutcome::Failed
+                                                   : ReplicaOutcome::Broken;
+                          },
+                          [](const AttemptAborted &) { return ReplicaOutcome::Abandoned; },
+                      },
+                      result);
+}
+
+} // namespace
+
+ReplicaAttempt::ReplicaAttempt(CallState &call, ChosenReplica chosen)
+    : mCall(call)
+    , mChosen(std::move(chosen))
+    , mWeightsTimer(call.exchange.executor())
+    , mSentAt(now())
+    , mIsAwaitingFirstResponse(true)
+{
+    if (const Replica *replica = call.parts.replicas.replicas().find(mChosen.id)) {
+        mIncarnation = {mChosen.id, replica->record.born, replica->record.address,
+                        replica->record.isDraining || replica->notices.isLeaving()};
+    }
+    call.parts.replicas.began(mChosen.id, mChosen.isPatient);
+}
+
+ReplicaAttempt::~ReplicaAttempt() = default;
+
+awaitable<std::optional<AttemptOutcome>> ReplicaAttempt::connect()
+{
+    const std::uint32_t maxConnections
+        = mCall.service == nullptr ? 0 : mCall.service->connectionCap;
+    auto link
+        = co_await mCall.parts.replicas.link(mChosen.id, mIncarnation.address, maxConnections);
+    mWasConnected = link.has_value();
+    if (link) {
+        mLink = std::move(*link);
+    }
+    // The attempt has waited for a permit or a connection since the replica was chosen, so the
+    // state of the replica may have changed.
+    const HeldBack held = mCall.parts.replicas.heldBack(mChosen.id);
+    const Replica *still = mCall.parts.replicas.replicas().find(mChosen.id);
+    const bool cannotServe
+        = held != HeldBack::Nothing || areWeightsExpired(still->weightsVersion());
+    // After a stall of the process, the event of a caller disconnect may still be queued in the
+    // event loop.
+    mCall.isCallerGone = mCall.isCallerGone || mCall.exchange.hasCallerLeft();
+    if (mCall.isCallerGone || mCall.isTimedOut) {
+        co_return AttemptAborted{"time was over before a replica was reached"};
+    }
+    if (mCancelReason != CancelReason::None) {
+        co_return AttemptUnknown{"another was first", std::nullopt, true};
+    }
+    if (!mWasConnected) {
+        co_return AttemptNotExecuted{"the replica could not be reached"};
+    }
+    if (cannotServe) {
+        co_return AttemptNotExecuted{"the replica takes nothing more"};
+    }
+    co_return std::nullopt;
+}
+
+void ReplicaAttempt::end(const AttemptOutcome &result)
+{
+    if (mIsFinished) {
+        return;
+    }
+    mIsFinished = true;
+    stopWatchingWeightsExpiry();
+    noteFirstResponse(false);
+    ReplicaService &replicas = mCall.parts.replicas;
+    // An attempt that sent nothing only shows whether the replica could be reached.
+    const ReplicaOutcome unsent
+        = mWasConnected ? ReplicaOutcome::Abandoned : ReplicaOutcome::Unreachable;
+    replicas.replicas().ended(mChosen.id, mWasRequestSent ? outcomeOf(result) : unsent, now());
+    if (mLink) {
+        replicas.giveBack(mChosen.id, std::move(mLink));
+    }
+    if (mWasRequestSent && !std::holds_alternative<AttemptCompleted>(result)) {
+        mCall.parts.metrics.count("tries_failed", mCall.serviceName);
+    }
+}
+
+awaitable<tl::expected<LinkHead, AttemptOutcome>> ReplicaAttempt::sendRequest()
+{
+    mSentAt = now();
+    mWasRequestSent = true;
+    mIsWaitingToRun = mCall.isForEngine();
+    if (mIsWaitingToRun) {
+        watchWeightsExpiry();
+    }
+    auto head = co_await exchangeHead();
+    if (!head) {
+        co_return tl::unexpected(outcomeOfLinkError(head.error()));
+    }
+    if (!mCall.route->isStream) {
+        noteFirstResponse(true);
+    }
+    co_return co_await classifyResponse(std::move(*head));
+}
+
+// Sends the request and reads response heads until one belongs to it: on a reused connection,
+// a surplus response to an earlier request may come first.
+awaitable<tl::expected<LinkHead, LinkError>> ReplicaAttempt::exchangeHead()
+{
+    const HttpRequest &request = mCall.exchange.request();
+    const OutgoingFields fields = outgoingFields();
+    const std::vector<HttpHeader> headers = mCall.parts.calls.outgoing(request, fields);
+    const LinkRequest outgoing{request.method, request.target, headers, request.body};
+    const auto deadline = steadyTime(mCall.deadline + sMinTimeLeft);
+    auto head = co_await mLink->exchange(outgoing, deadline);
+    for (int staleCount = 0; head; ++staleCount) {
+        const AnswerFields told = mCall.parts.calls.answerFields(*head);
+        noteNotice(told);
+        const std::string &id = told.requestId;
+        const bool isOwn = id == mCall.caller.id || id.empty();
+        if (isOwn || staleCount == sMaxStaleResponses) {
+            break;
+        }
+        mCall.parts.metrics.count("foreign_answers", mCall.serviceName);
+        logLine(LogLevel::Warning, "foreign-answer",
+                {{"id", mCall.caller.id}, {"replica", mChosen.id}, {"answerTo", id}});
+        head = co_await mLink->nextHead(deadline);
+    }
+    co_return std::move(head);
+}
+
+awaitable<tl::expected<LinkHead, AttemptOutcome>> ReplicaAttempt::classifyResponse(LinkHead head)
+{
+    const AnswerFields fields = mCall.parts.calls.answerFields(head);
+    if (fields.isNotRun) {
+        if (!fields.replicaId.empty() && fields.replicaId != mChosen.id) {
+            mCall.parts.replicas.replicas().replaced(mChosen.id, now());
+        } else {
+            noteRate(fields.rate, false);
+        }
+        co_await mLink->readWhole(sMaxResponseBytes, steadyTime(mCall.deadline));
+        co_return tl::unexpected(
+            AttemptNotExecuted{"replica refused: " + std::to_string(head.status)});
+    }
+    if (fields.requestId != mCall.caller.id) {
+        mLink->cancel();
+        co_return tl::unexpected(AttemptUnknown{"answer to another request", std::nullopt});
+    }
+    const bool isSuccess = head.status / 100 == 2;
+    noteRate(fields.rate, isSuccess && fields.isSigned);
+    mIsStream = isSuccess && fields.isStream;
+    if (!mIsStream) {
+        stopWatchingWeightsExpiry();
+    }
+    if (isSuccess && !fields.isSigned) {
+        mLink->cancel();
+        co_return tl::unexpected(AttemptUnknown{"answer without signature", std::nullopt});
+    }
+    co_return std::move(head);
+}
+
+awaitable<tl::expected<std::string, AttemptOutcome>> ReplicaAttempt::readWhole()
+{
+    const auto deadline = steadyTime(mCall.deadline + sMinTimeLeft);
+    auto body = co_await mLink->readWhole(sMaxResponseBytes, deadline);
+    if (!body) {
+        co_return tl::unexpected(outcomeOfLinkError(body.error()));
+    }
+    co_return std::move(*body);
+}
+
+awaitable<tl::expected<EventBatch, AttemptOutcome>> ReplicaAttempt::nextEvents()
+{
+    if (mPrefetched) {
+        EventBatch held = std::move(*mPrefetched);
+        mPrefetched.reset();
+        co_return held;
+    }
+    EventBatch batch;
+    batch.last = mCall.lastEvent;
+    while (batch.count == 0 && !batch.isEndOfStream) {
+        // Silence alone does not end the attempt: the replica may only be slow, and ending it
+        // would gain nothing.
+        const auto piece = co_await mLink->readBody(steadyTime(mCall.deadline + sMinTimeLeft));
+        if (!piece) {
+            co_return tl::unexpected(outcomeOfLinkError(piece.error()));
+        }
+        batch.isEndOfStream = piece->empty();
+        if (batch.isEndOfStream && mSplitter.pending() > 0) {
+            co_return tl::unexpected(
+                AttemptUnknown{"stream ended within an event", std::nullopt, false, true});
+        }
+        stopWatchingWeightsExpiry();
+        appendEvents(*piece, batch);
+    }
+    if (batch.count > 0) {
+        noteFirstResponse(true);
+    }
+    co_return batch;
+}
+
+// Skips the events at the start of a resumed stream that the caller already has.
+void ReplicaAttempt::appendEvents(std::string_view piece, EventBatch &batch)
+{
+    for (const StreamEvent &event : mSplitter.feed(piece)) {
+        const bool isRepeat = event.id && batch.last && *event.id <= *batch.last;
+        if (isRepeat) {
+            continue;
+        }
+        batch.text += event.text;
+        ++batch.count;
+        if (event.id) {
+            batch.last = event.id;
+        }
+    }
+}
+
+awaitable<std::optional<AttemptOutcome>> ReplicaAttempt::prefetchEvents()
+{
+    auto events = co_await nextEvents();
+    if (!events) {
+        co_return std::move(events.error());
+    }
+    mPrefetched = std::move(*events);
+    co_return std::nullopt;
+}
+
+void ReplicaAttempt::cancel()
+{
+    if (mLink) {
+        mLink->cancel();
+    }
+}
+
+void ReplicaAttempt::cancelUnneeded()
+{
+    cancelFor(CancelReason::Unneeded);
+}
+
+void ReplicaAttempt::cancelSilent()
+{
+    cancelFor(CancelReason::Silent);
+}
+
+void ReplicaAttempt::cancelFor(CancelReason ending)
+{
+    if (mCancelReason == CancelReason::None) {
+        mCancelReason = ending;
+    }
+    cancel();
+}
+
+AttemptOutcome ReplicaAttempt::outcomeOfLinkError(LinkError error) const
+{
+    if (mCall.isCallerGone) {
+        return AttemptAborted{"the caller left"};
+    }
+    // The deadline of the link may expire slightly before the one of the call.
+    if (mCall.isTimedOut || mCall.timeLeft() < sMinTimeLeft) {
+        return AttemptAborted{"time was over"};
+    }
+    switch (mCancelReason) {
+    case CancelReason::WeightsExpired:
+        return AttemptUnknown{"its weights were over", std::nullopt, true};
+    case CancelReason::Unneeded:
+        return AttemptUnknown{"another was first", std::nullopt, true};
+    case CancelReason::Silent:
+        return AttemptUnknown{"silent", std::nullopt};
+    case CancelReason::None:
+        break;
+    }
+    return AttemptUnknown{std::string(linkErrorName(error)), std::nullopt, false,
+                          error == LinkError::Closed};
+}
+
+// Reports once for each attempt, at its end at the latest, whether its response or first event
+// has arrived.
+void ReplicaAttempt::noteFirstResponse(bool hasBegun)
+{
+    if (!mIsAwaitingFirstResponse) {
+        return;
+    }
+    mIsAwaitingFirstResponse = false;
+    if (hasBegun) {
+        mCall.parts.replicas.answerBegan(mChosen.id, mChosen.isPatient, now() - mSentAt);
+    } else {
+        mCall.parts.replicas.answerMissed(mChosen.id, mChosen.isPatient);
+    }
+}
+
+// The absence of a rate limit counts only in good responses: an error may come from a component
+// of the replica that does not know about the limit.
+void ReplicaAttempt::noteRate(const NamedRate &rate, bool isGood)
+{
+    if (isGood || !std::holds_alternative<NoRate>(rate)) {
+        mCall.parts.replicas.noteRate(mChosen.id, rate, mSentAt);
+    }
+}
+
+// A notice in a response to another request says as much about the replica as one in the
+// response to this request. The replica id in the response takes precedence over the chosen one,
+// because an address may have been reassigned to another replica.
+void ReplicaAttempt::noteNotice(const AnswerFields &fields)
+{
+    const bool isOther = !fields.replicaId.empty() && fields.replicaId != mChosen.id;
+    mIncarnation.isLeaving = mIncarnation.isLeaving || (!isOther && fields.notice.isLeaving);
+    ReplicaLife life = mIncarnation;
+    life.id = isOther ? fields.replicaId : mChosen.id;
+    life.born = isOther ? 0 : mIncarnation.born;
+    mCall.parts.replicas.noteNotice(life, fields.notice);
+}
+
+OutgoingFields ReplicaAttempt::outgoingFields() const
+{
+    OutgoingFields fields;
+    fields.deadline = mCall.timeLeft();
+    fields.replicaId = mChosen.id;
+    fields.account = mCall.account;
+    fields.lastEvent = mCall.lastEvent ? mCall.lastEvent : mCall.caller.lastEvent;
+    if (!mCall.isForEngine()) {
+        return fields;
+    }
+    fields.urgency = mCall.isHeadSent ? Urgency::Resumed
+        : mChosen.isPatient           ? Urgency::Patient
+                                      : Urgency::Prompt;
+    const Replica *replica = mCall.parts.replicas.replicas().find(mChosen.id);
+    const std::uint64_t newest = mCall.parts.config.weights().newest(mCall.caller.model);
+    // A replica with an older version may switch versions during the request, and either version
+    // may execute it; so no version is required of it.
+    if (replica != nullptr && replica->weightsVersion() == newest) {
+        fields.weightsVersion = newest;
+    } else if (replica != nullptr) {
+        fields.deadline
+            = std::min(fields.deadline, timeUntilWeightsExpire(replica->weightsVersion()));
+    }
+    return fields;
+}
+
+// A request may stay queued at a replica for long, for example while its box is suspended. The
+// replica drops it at its deadline, so it cannot start after its weights have expired. A stream
+// that is running at that time is resumed at another replica.
+Milliseconds ReplicaAttempt::timeUntilWeightsExpire(std::uint64_t version) const
+{
+    const auto giveUp = mCall.parts.config.weights().startDeadline(mCall.caller.model, version);
+    if (!giveUp) {
+        return Milliseconds::max();
+    }
+    const auto left = std::chrono::duration_cast<Milliseconds>(*giveUp - now()) - sRefusalRoundTrip;
+    return std::max(left, sMinTimeLeft);
+}
+
+// Whether a request that has not started on @p version by now might start after it expires.
+bool ReplicaAttempt::areWeightsExpired(std::uint64_t version) const
+{
+    if (!mCall.isForEngine()) {
+        return false;
+    }
+    const auto giveUp = mCall.parts.config.weights().startDeadline(mCall.caller.model, version);
+    return giveUp && *giveUp <= now();
+}
+
+// The replica counts the deadline of a request from its arrival. While the request is in transit
+// or the replica is stalled, only closing the connection keeps it from starting too late.
+void ReplicaAttempt::watchWeightsExpiry()
+{
+    const Replica *replica = mCall.parts.replicas.replicas().find(mChosen.id);
+    // The replica may have loaded a newer version since, on which queued requests start.
+    mNewestWeightsSeen
+        = std::max(mNewestWeightsSeen, replica == nullptr ? 0 : replica->weightsVersion());
+    if (areWeightsExpired(mNewestWeightsSeen)) {
+        cancelFor(CancelReason::WeightsExpired);
+        return;
+    }
+    const WeightVersionTracker &weights = mCall.parts.config.weights();
+    const auto giveUp = weights.startDeadline(mCall.caller.model, mNewestWeightsSeen);
+    mWeightsTimer.expires_at(bootTime(giveUp.value_or(weights.nextCheckAt(now()))));
+    const std::weak_ptr<bool> alive = mAlive;
+    mWeightsTimer.async_wait([this, alive](const boost::system::error_code &error) {
+        if (!error && !alive.expired() && mIsWaitingToRun) {
+            watchWeightsExpiry();
+        }
+    });
+}
+
+void ReplicaAttempt::stopWatchingWeightsExpiry()
+{
+    mIsWaitingToRun = false;
+    mWeightsTimer.cancel();
+}
+
+} // namespace Loom
--- a/tests/gateway/directlab.h
+++ b/tests/gateway/gatewayfixture.h
@@ -1,5 +1,5 @@
 /*
- * directlab.h
+ * gatewayfixture.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,12 +8,12 @@
 
 #pragma once
 
-#include "addressfront.h"
+#include "addressserver.h"
 #include "calls.h"
 #include "clock.h"
 #include "directconfig.h"
 #include "feedservice.h"
-#include "gatewayfront.h"
+#include "gatewayserver.h"
 #include "memberservice.h"
 #include "metrics.h"
 #include "peerhub.h"
@@ -34,7 +34,7 @@
 
 namespace Loom {
 
-/** A store in memory, which can be away or forget its history. */
+/** An in-memory store that can become unreachable or lose its history. */
 class MemoryStore final : public StorePort
 {
 public:
@@ -43,15 +43,16 @@
     {
     }
 
-    bool isAway = false;
-    bool hasForgotten = false; ///< the next read finds its records gone
-    int reads = 0; ///< so far, of all feeds
-    int fullReads = 0; ///< of those, of every key
-    std::array<std::vector<Milliseconds>, sFeedCount> waits; ///< that reads so far asked for
-    std::size_t mostAtOnce = 1'000'000; ///< records that one read gives
-    Milliseconds onTheWay{0}; ///< every answer takes so long after the store looked
-    std::array<int, sFeedCount> fullReadsOf{}; ///< the same by feed
-    Milliseconds fullReadTime{0}; ///< that each of them takes
+    bool isUnreachable = false;
+    bool hasLostHistory = false; ///< the next read fails because its records are gone
+    int readCount = 0; ///< number of incremental reads of all feeds so far
+    int fullReadCount = 0; ///< number of full reads of all feeds so far
+    std::array<std::vector<Milliseconds>, sFeedCount>
+        requestedWaits; ///< wait times that reads have requested, by feed
+    std::size_t maxRecordsPerRead = 1'000'000; ///< limit on the records that one read returns
+    Milliseconds responseDelay{0}; ///< delay between reading the log and returning the result
+    std::array<int, sFeedCount> fullReadCountByFeed{}; ///< fullReadCount by feed
+    Milliseconds fullReadDuration{0}; ///< extra time that each full read takes
 
     void write(Feed feed, std::string key, std::optional<std::string> value)
     {
@@ -63,39 +64,39 @@
     awaitable<tl::expected<FeedBatch, StoreError>> read(Feed feed, std::uint64_t from,
                                                         Milliseconds wait) override
     {
-        ++reads;
-        waits[static_cast<std::size_t>(feed)].push_back(wait);
+        ++readCount;
+        requestedWaits[static_cast<std::size_t>(feed)].push_back(wait);
         const auto &log = mLogs[static_cast<std::size_t>(feed)];
-        if (!isAway && log.size() <= from) {
+        if (!isUnreachable && log.size() <= from) {
             co_await mChanged.waitFor(wait);
         }
-        if (isAway) {
+        if (isUnreachable) {
             co_return tl::unexpected(StoreError::Unreachable);
         }
-        if (std::exchange(hasForgotten, false)) {
+        if (std::exchange(hasLostHistory, false)) {
             co_return tl::unexpected(StoreError::Forgotten);
         }
         FeedBatch batch;
-        const std::uint64_t end = std::min<std::uint64_t>(log.size(), from + mostAtOnce);
+        const std::uint64_t end = std::min<std::uint64_t>(log.size(), from + maxRecordsPerRead);
         for (std::uint64_t offset = from; offset < end; ++offset) {
             batch.records.push_back(log[offset]);
             batch.bytes += bytesOf(log[offset]);
         }
         batch.next = std::max(from, end);
         batch.hasMore = batch.next < log.size();
-        co_await sleepFor(onTheWay);
+        co_await sleepFor(responseDelay);
         co_return batch;
     }
 
     awaitable<tl::expected<FeedBatch, StoreError>> newest(Feed feed) override
     {
-        if (isAway) {
+        if (isUnreachable) {
             co_return tl::unexpected(StoreError::Refused);
         }
-        ++fullReads;
-        ++fullReadsOf[static_cast<std::size_t>(feed)];
-        if (fullReadTime.count() > 0) {
-            co_await sleepFor(fullReadTime);
+        ++fullReadCount;
+        ++fullReadCountByFeed[static_cast<std::size_t>(feed)];
+        if (fullReadDuration.count() > 0) {
+            co_await sleepFor(fullReadDuration);
         }
         const auto &log = mLogs[static_cast<std::size_t>(feed)];
         RecordBook book;
@@ -110,14 +111,14 @@
             }
         }
         batch.next = log.size();
-        co_await sleepFor(onTheWay);
+        co_await sleepFor(responseDelay);
         co_return batch;
     }
 
     awaitable<tl::expected<void, StoreError>> put(std::string key,
                                                   std::optional<std::string> value) override
     {
-        if (isAway) {
+        if (isUnreachable) {
             co_return tl::unexpected(StoreError::Unreachable);
         }
         write(Feed::Members, std::move(key), std::move(value));
@@ -134,7 +135,7 @@
     Signal mChanged;
 };
 
-/** The id of the request with this head. */
+/** Returns the request id in the header section @p head of a request. */
 inline std::string requestIdOf(const std::string &head)
 {
     constexpr std::string_view name = "Loomjunction-Request-Id: ";
@@ -142,17 +143,18 @@
     return head.substr(begin, head.find('\r', begin) - begin);
 }
 
-/** A replica that answers every request by a script, which gets the request's head. */
+/** A replica whose response to each request comes from a script. */
 class ScriptedReplica
 {
 public:
     struct Answer
     {
         std::string bytes;
-        bool closes = false;
-        std::function<bool()> holds; ///< the rest waits while it says so
+        bool closes = false; ///< closes the connection after the response
+        std::function<bool()> holds; ///< `rest` is sent once this returns false
         std::string rest;
     };
+    /** Maps the header section of a request to the response. */
     using Script = std::function<Answer(const std::string &head)>;
 
     ScriptedReplica(asio::io_context &context, Script script)
@@ -163,13 +165,14 @@
     }
 
     std::string address() const { return endpointText(mAcceptor.local_endpoint()); }
-    /** Takes no further connection, as a process that has ended. */
+    /** Stops accepting connections, like a process that has ended. */
     void end() { mAcceptor.close(); }
     int requests() const { return static_cast<int>(mHeads.size()); }
+    /** Header sections of the requests received so far. */
     const std::vector<std::string> &heads() const { return mHeads; }
-    /** Connections that were made so far. */
+    /** Number of connections accepted so far. */
     int connections() const { return mConnections; }
-    /** Connections that the other side has closed. */
+    /** Number of connections that the other side has closed. */
     int closed() const { return mClosed; }
 
 private:
@@ -219,31 +222,31 @@
     int mClosed = 0;
 };
 
-/** One gateway over a store in memory, with scripted replicas. */
-class DirectLab
+/** Test fixture that runs one gateway with an in-memory store and scripted replicas. */
+class GatewayFixture
 {
 public:
-    DirectLab();
+    GatewayFixture();
 
     asio::io_context context{1};
     MemoryStore store{context.get_executor()};
 
-    /** Adds a replica of @p service and its record, with @p weights loaded. */
+    /** Starts a replica of @p service with version @p weights loaded, and writes its record. */
     ScriptedReplica &addReplica(std::string id, std::string service, ScriptedReplica::Script script,
                                 std::uint64_t weights = 1);
     void writeConfig(std::uint64_t version);
 
-    /** Runs @p test on the loop until it returns, then ends the gateway. */
+    /** Runs @p test on the event loop until it returns, then stops the loop. */
     void run(std::function<awaitable<void>()> test);
-    /** The answer to one request of the account with @p key. */
+    /** Sends a request with the API key @p key to the gateway and returns the response. */
     awaitable<tl::expected<HttpResponse, HttpError>> call(std::string method, std::string path,
                                                           std::string id, std::string key = "k",
                                                           std::string deadlineMs = "6000");
-    /** Waits until @p condition holds; fails the test after a generous time. */
+    /** Waits until @p condition holds; fails the test after sTestTimeout. */
     awaitable<void> waitFor(std::function<bool()> condition);
 
-    GatewayFront &front() { return mKernel.find<GatewayFront>(GatewayFront::sName); }
-    AddressFront &addresses() { return mKernel.find<AddressFront>(AddressFront::sName); }
+    GatewayServer &front() { return mKernel.find<GatewayServer>(GatewayServer::sName); }
+    AddressServer &addresses() { return mKernel.find<AddressServer>(AddressServer::sName); }
     DirectConfig &config() { return mKernel.find<DirectConfig>(DirectConfig::sName); }
     FeedService &feeds() { return mKernel.find<FeedService>(FeedService::sName); }
     MemberService &members() { return mKernel.find<MemberService>(MemberService::sName); }
