--- a/src/libloomjunction/core/admission.cpp
+++ b/src/libloomjunction/core/admission.cpp
@@ -17,15 +17,15 @@
 
 // From this part of the limit on, accounts over their share are refused, so
 // that there is always room for those under theirs.
-constexpr double sContendedFrom = 0.8;
-constexpr double sDecrease = 0.9;
-constexpr Milliseconds sDecreaseEvery{100};
-constexpr Milliseconds sDrainWindow{250};
+constexpr double sContentionThreshold = 0.8;
+constexpr double sDecreaseFactor = 0.9;
+constexpr Milliseconds sMinDecreaseInterval{100};
+constexpr Milliseconds sCompletionWindow{250};
 // An account counts as active for this long after it last asked.
-constexpr Milliseconds sActiveFor{2'000};
-constexpr Milliseconds sLeastRetryAfter{50};
-constexpr Milliseconds sMostRetryAfter{10'000};
-constexpr std::size_t sMostShares = 4096;
+constexpr Milliseconds sActivePeriod{2'000};
+constexpr Milliseconds sMinRetryAfter{50};
+constexpr Milliseconds sMaxRetryAfter{10'000};
+constexpr std::size_t sMaxShares = 4096;
 
 } // namespace
 
@@ -55,19 +55,19 @@
 {
     auto it = mShares.find(account);
     if (it == mShares.end()) {
-        if (mShares.size() >= sMostShares) {
+        if (mShares.size() >= sMaxShares) {
             std::erase_if(mShares, [&](const auto &pair) {
-                return pair.second.inFlight == 0 && now - pair.second.lastAsked > sActiveFor;
+                return pair.second.inFlight == 0 && now - pair.second.lastRequestAt > sActivePeriod;
             });
         }
         it = mShares.emplace(std::string(account), Share{}).first;
     }
     Share &share = it->second;
     share.weight = std::max<std::uint32_t>(weight, 1);
-    share.lastAsked = now;
+    share.lastRequestAt = now;
 
     const bool full = mInFlight >= std::max(1.0, std::floor(mLimit));
-    const bool contended = mInFlight >= mLimit * sContendedFrom;
+    const bool contended = mInFlight >= mLimit * sContentionThreshold;
     const bool overShare = share.inFlight >= fairShare(share, now);
     if (full) {
         return NotRun{RefusalReason::Overloaded, retryAfter(now)};
@@ -84,12 +84,12 @@
 {
     double weights = 0;
     for (const auto &[account, other] : mShares) {
-        const bool active = other.inFlight > 0 || now - other.lastAsked <= sActiveFor;
+        const bool active = other.inFlight > 0 || now - other.lastRequestAt <= sActivePeriod;
         weights += active ? other.weight : 0;
     }
     const double fair = mLimit * share.weight / std::max(weights, 1.0);
     // Even a lone account leaves the reserve, or the next one would find no room.
-    return std::max(1.0, std::min(fair, mLimit * sContendedFrom));
+    return std::max(1.0, std::min(fair, mLimit * sContentionThreshold));
 }
 
 void Admission::release(std::string_view account, bool upstreamRefused, Instant now)
@@ -99,41 +99,42 @@
         --it->second.inFlight;
         --mInFlight;
     }
-    noteDrain(now);
+    noteCompletion(now);
     if (!upstreamRefused) {
         mLimit = std::min<double>(mCeiling, mLimit + 1.0 / std::max(mLimit, 1.0));
         return;
     }
-    if (now - mLastDecrease >= sDecreaseEvery) {
+    if (now - mLastDecrease >= sMinDecreaseInterval) {
         // Never under what is in flight by a wide margin: one decrease speaks of now.
-        mLimit = std::max(1.0, std::min<double>(mLimit, mInFlight + 1) * sDecrease);
+        mLimit = std::max(1.0, std::min<double>(mLimit, mInFlight + 1) * sDecreaseFactor);
         mLastDecrease = now;
     }
 }
 
-void Admission::noteDrain(Instant now)
+void Admission::noteCompletion(Instant now)
 {
-    ++mWindowDrained;
+    ++mWindowCompletions;
     const auto elapsed = now - mWindowStart;
-    if (elapsed < sDrainWindow) {
+    if (elapsed < sCompletionWindow) {
         return;
     }
     const double seconds = std::chrono::duration<double>(elapsed).count();
-    mDrainPerSecond = mWindowDrained / seconds;
-    mWindowDrained = 0;
+    mCompletionsPerSecond = mWindowCompletions / seconds;
+    mWindowCompletions = 0;
     mWindowStart = now;
 }
 
 Milliseconds Admission::retryAfter(Instant now) const
 {
-    const bool stale = now - mWindowStart > sMostRetryAfter;
-    if (mDrainPerSecond <= 0 || stale) {
+    const bool stale = now - mWindowStart > sMaxRetryAfter;
+    if (mCompletionsPerSecond <= 0 || stale) {
         return Milliseconds(1'000);
     }
     // Time until the room that accounts under their share do not need is free again.
-    const double excess = std::max(1.0, mInFlight - mLimit * sContendedFrom + 1);
-    const auto wait = Milliseconds(static_cast<std::int64_t>(1000.0 * excess / mDrainPerSecond));
-    return std::clamp(wait, sLeastRetryAfter, sMostRetryAfter);
+    const double excess = std::max(1.0, mInFlight - mLimit * sContentionThreshold + 1);
+    const auto wait
+        = Milliseconds(static_cast<std::int64_t>(1000.0 * excess / mCompletionsPerSecond));
+    return std::clamp(wait, sMinRetryAfter, sMaxRetryAfter);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/admission.h
+++ b/src/libloomjunction/core/admission.h
@@ -51,11 +51,11 @@
     {
         std::uint32_t inFlight = 0;
         std::uint32_t weight = 1;
-        Instant lastAsked;
+        Instant lastRequestAt;
     };
 
     double fairShare(const Share &share, Instant now) const;
-    void noteDrain(Instant now);
+    void noteCompletion(Instant now);
 
     double mLimit;
     std::uint32_t mCeiling;
@@ -63,8 +63,8 @@
     std::map<std::string, Share, std::less<>> mShares;
     Instant mLastDecrease;
     Instant mWindowStart;
-    std::uint32_t mWindowDrained = 0;
-    double mDrainPerSecond = 0;
+    std::uint32_t mWindowCompletions = 0;
+    double mCompletionsPerSecond = 0;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/callerpatience.h
+++ b/src/libloomjunction/core/callerwaitestimator.h
@@ -1,5 +1,5 @@
 /*
- * callerpatience.h
+ * callerwaitestimator.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -24,7 +24,7 @@
  * left. Callers of one route need not begin with the same time: what lies within the
  * times of first tries says nothing, and what lies below them is a later try.
  */
-class CallerPatience
+class CallerWaitEstimator
 {
 public:
     /**
@@ -33,19 +33,19 @@
      */
     void note(std::string_view route, Milliseconds timeLeft, double refused);
     /** Since the caller's first try; zero for whoever may be at its first. */
-    Milliseconds waited(std::string_view route, Milliseconds timeLeft) const;
+    Milliseconds waitedBefore(std::string_view route, Milliseconds timeLeft) const;
 
 private:
     /** Times that are left, in parts of the route's longest. */
-    static constexpr std::size_t sParts = 200;
+    static constexpr std::size_t sBucketCount = 200;
 
-    double partOf(std::string_view route, Milliseconds timeLeft) const;
-    std::size_t leastOfFirstTries() const;
+    double remainingFraction(std::string_view route, Milliseconds timeLeft) const;
+    std::size_t firstTryThreshold() const;
 
-    std::map<std::string, Milliseconds, std::less<>> mLongest; ///< by route
-    std::array<double, sParts> mCounts{};
-    double mTotal = 0;
-    double mReturned = 0; ///< of those, as many as may have been later tries
+    std::map<std::string, Milliseconds, std::less<>> mMaxTimeLeft; ///< by route
+    std::array<double, sBucketCount> mBucketCounts{};
+    double mRequestCount = 0;
+    double mRetryCount = 0; ///< of those, as many as may have been later tries
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/callrate.cpp
+++ b/src/libloomjunction/core/callrate.cpp
@@ -25,7 +25,7 @@
 
 void CallRate::note(Milliseconds goal, Instant now)
 {
-    const double kept = keptAfter(now - mAt, sCallsHalfMs);
+    const double kept = decayFactor(now - mAt, sCallsHalfMs);
     mCount = mCount * kept + 1;
     for (auto &[other, count] : mByGoal) {
         count *= kept;
@@ -37,7 +37,7 @@
 double CallRate::perMs(Instant now) const
 {
     // A steady rate r adds up to r x half-life / ln 2.
-    return mCount * keptAfter(now - mAt, sCallsHalfMs) * std::numbers::ln2 / sCallsHalfMs;
+    return mCount * decayFactor(now - mAt, sCallsHalfMs) * std::numbers::ln2 / sCallsHalfMs;
 }
 
 Milliseconds CallRate::shortestGoal() const
--- a/src/libloomjunction/core/compression.cpp
+++ b/src/libloomjunction/core/compression.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // The library's own standard: 400 KB of JSON take some two milliseconds.
-constexpr int sLevel = 3;
+constexpr int sCompressionLevel = 3;
 
 } // namespace
 
@@ -23,22 +23,22 @@
 {
     std::string out(ZSTD_compressBound(text.size()), '\0');
     const std::size_t size
-        = ZSTD_compress(out.data(), out.size(), text.data(), text.size(), sLevel);
+        = ZSTD_compress(out.data(), out.size(), text.data(), text.size(), sCompressionLevel);
     out.resize(ZSTD_isError(size) ? 0 : size);
     return out;
 }
 
-tl::expected<std::string, std::string> decompressed(std::string_view bytes, std::size_t most)
+tl::expected<std::string, std::string> decompressed(std::string_view bytes, std::size_t maxSize)
 {
-    const unsigned long long told = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-    if (told == ZSTD_CONTENTSIZE_UNKNOWN || told == ZSTD_CONTENTSIZE_ERROR) {
+    const unsigned long long declaredSize = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
+    if (declaredSize == ZSTD_CONTENTSIZE_UNKNOWN || declaredSize == ZSTD_CONTENTSIZE_ERROR) {
         return tl::unexpected(std::string("expected a Zstandard frame with its size"));
     }
-    if (told > most) {
-        return tl::unexpected("expected at most " + std::to_string(most) + " bytes, found "
-                              + std::to_string(told));
+    if (declaredSize > maxSize) {
+        return tl::unexpected("expected at most " + std::to_string(maxSize) + " bytes, found "
+                              + std::to_string(declaredSize));
     }
-    std::string out(static_cast<std::size_t>(told), '\0');
+    std::string out(static_cast<std::size_t>(declaredSize), '\0');
     const std::size_t size = ZSTD_decompress(out.data(), out.size(), bytes.data(), bytes.size());
     if (ZSTD_isError(size) || size != out.size()) {
         return tl::unexpected(std::string("the Zstandard frame is damaged"));
--- a/src/libloomjunction/core/compression.h
+++ b/src/libloomjunction/core/compression.h
@@ -20,6 +20,6 @@
 std::string compressed(std::string_view text);
 
 /** What was compressed; an error for other bytes, or for more than @p most bytes of text. */
-tl::expected<std::string, std::string> decompressed(std::string_view bytes, std::size_t most);
+tl::expected<std::string, std::string> decompressed(std::string_view bytes, std::size_t maxSize);
 
 } // namespace Loom
--- a/src/libloomjunction/core/decay.h
+++ b/src/libloomjunction/core/decay.h
@@ -14,10 +14,10 @@
 
 namespace Loom {
 
-/** What is left of a count after @p time, where half of it is left after @p halfMs. */
-inline double keptAfter(Microseconds time, double halfMs)
+/** What is left of a count after @p time, where half of it is left after @p halfLifeMs. */
+inline double decayFactor(Microseconds elapsed, double halfLifeMs)
 {
-    return std::exp2(-std::chrono::duration<double, std::milli>(time).count() / halfMs);
+    return std::exp2(-std::chrono::duration<double, std::milli>(elapsed).count() / halfLifeMs);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/enginemodel.cpp
+++ b/src/libloomjunction/core/enginemodel.cpp
@@ -22,21 +22,22 @@
 
 double EngineModel::pass(double writers) const
 {
-    const double context = (mFigures.usualPrompt + mFigures.usualAnswer / 2) / sPerThousand;
-    const double perWriter = mFigures.perSequenceMs + mFigures.contextMsPerK * context;
+    const double context
+        = (mFigures.meanPromptTokens + mFigures.meanAnswerTokens / 2) / sPerThousand;
+    const double perWriter = mFigures.perSequenceMs + mFigures.contextMsPer1kTokens * context;
     return mFigures.stepsPerPass * (mFigures.stepMs + writers * perWriter);
 }
 
 double EngineModel::steadyPass(double writers) const
 {
-    const double events = mFigures.usualAnswer / std::max(mFigures.stepsPerPass, 1U);
+    const double events = mFigures.meanAnswerTokens / std::max(mFigures.stepsPerPass, 1U);
     const double begun = events > 0 ? writers / events : 0;
-    return pass(writers) + begun * read(mFigures.usualPrompt);
+    return pass(writers) + begun * read(mFigures.meanPromptTokens);
 }
 
 double EngineModel::read(double tokens) const
 {
-    return mFigures.readTokensPerMs > 0 ? tokens / mFigures.readTokensPerMs : 0;
+    return mFigures.prefillTokensPerMs > 0 ? tokens / mFigures.prefillTokensPerMs : 0;
 }
 
 double EngineModel::turn() const
@@ -45,7 +46,7 @@
         return 0;
     }
     const double step = pass(mFigures.slots) / mFigures.stepsPerPass;
-    return read(mFigures.usualPrompt) + mFigures.usualAnswer * step / mFigures.slots;
+    return read(mFigures.meanPromptTokens) + mFigures.meanAnswerTokens * step / mFigures.slots;
 }
 
 double EngineModel::firstEvent(const EngineWork &work, double promptTokens) const
@@ -55,8 +56,8 @@
     const double queued = std::max(0.0, total + 1 - slots);
     // Only those that find a slot are read in the next pass.
     const double readBefore = std::max(0.0, work.unread - queued);
-    const double tokens = promptTokens > 0 ? promptTokens : mFigures.usualPrompt;
-    const double reading = readBefore * read(mFigures.usualPrompt) + read(tokens);
+    const double tokens = promptTokens > 0 ? promptTokens : mFigures.meanPromptTokens;
+    const double reading = readBefore * read(mFigures.meanPromptTokens) + read(tokens);
     const double waiting = queued * turn();
     const double passes = sMiddle * steadyPass(work.running) + pass(std::min(total + 1, slots));
     return work.pace * (waiting + passes + reading);
--- a/src/libloomjunction/core/enginemodel.h
+++ b/src/libloomjunction/core/enginemodel.h
@@ -28,7 +28,7 @@
 class EngineModel
 {
 public:
-    explicit EngineModel(const EngineFigures &figures)
+    explicit EngineModel(const EngineProfile &figures)
         : mFigures(figures)
     {
     }
@@ -47,7 +47,7 @@
     double room(const EngineWork &work, double promptTokens, double limit) const;
 
 private:
-    const EngineFigures &mFigures;
+    const EngineProfile &mFigures;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/eventsplitter.cpp
+++ b/src/libloomjunction/core/eventsplitter.cpp
@@ -44,15 +44,15 @@
 // Length of the first whole event in @p text, or zero.
 std::size_t firstEventSize(std::string_view text)
 {
-    const std::size_t plain = text.find(sEventEnd);
-    const std::size_t carriage = text.find(sEventEndCrLf);
-    if (plain == std::string_view::npos && carriage == std::string_view::npos) {
+    const std::size_t lfEnd = text.find(sEventEnd);
+    const std::size_t crLfEnd = text.find(sEventEndCrLf);
+    if (lfEnd == std::string_view::npos && crLfEnd == std::string_view::npos) {
         return 0;
     }
-    if (carriage < plain) {
-        return carriage + sEventEndCrLf.size();
+    if (crLfEnd < lfEnd) {
+        return crLfEnd + sEventEndCrLf.size();
     }
-    return plain + sEventEnd.size();
+    return lfEnd + sEventEnd.size();
 }
 
 } // namespace
--- a/src/libloomjunction/core/growingtimeout.h
+++ b/src/libloomjunction/core/exponentialtimeout.h
@@ -1,5 +1,5 @@
 /*
- * growingtimeout.h
+ * exponentialtimeout.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -16,18 +16,18 @@
  * How long the next try of a call may take: twice as long after each one that ran
  * out of time, as before after one that succeeded.
  */
-class GrowingTimeout
+class ExponentialTimeout
 {
 public:
-    GrowingTimeout(Milliseconds least, Milliseconds most);
+    ExponentialTimeout(Milliseconds minimum, Milliseconds maximum);
 
     Milliseconds current() const { return mCurrent; }
-    void noteTimedOut();
-    void noteDone() { mCurrent = mLeast; }
+    void noteTimeout();
+    void noteSuccess() { mCurrent = mMinimum; }
 
 private:
-    Milliseconds mLeast;
-    Milliseconds mMost;
+    Milliseconds mMinimum;
+    Milliseconds mMaximum;
     Milliseconds mCurrent;
 };
 
--- a/src/libloomjunction/core/recordbook.cpp
+++ b/src/libloomjunction/core/feedtable.cpp
@@ -1,19 +1,19 @@
 /*
- * recordbook.cpp
+ * feedtable.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "recordbook.h"
+#include "feedtable.h"
 
 #include <algorithm>
 #include <set>
 
 namespace Loom {
 
-bool RecordBook::apply(const FeedRecord &record)
+bool FeedTable::apply(const FeedRecord &record)
 {
     const auto it = mRecords.find(record.key);
     if (it != mRecords.end()) {
@@ -28,8 +28,8 @@
     return true;
 }
 
-std::vector<std::string> RecordBook::applySnapshot(std::span<const FeedRecord> records,
-                                                   std::uint64_t end)
+std::vector<std::string> FeedTable::applySnapshot(std::span<const FeedRecord> records,
+                                                  std::uint64_t end)
 {
     std::vector<std::string> changed;
     std::set<std::string_view> present;
@@ -50,12 +50,12 @@
     return changed;
 }
 
-void RecordBook::setNextOffset(std::uint64_t offset)
+void FeedTable::setNextOffset(std::uint64_t offset)
 {
-    mNext = std::max(mNext, offset);
+    mNextOffset = std::max(mNextOffset, offset);
 }
 
-const FeedRecord *RecordBook::find(std::string_view key) const
+const FeedRecord *FeedTable::find(std::string_view key) const
 {
     const auto it = mRecords.find(key);
     return it == mRecords.end() || !it->second.value ? nullptr : &it->second;
--- a/src/libloomjunction/core/recordbook.h
+++ b/src/libloomjunction/core/feedtable.h
@@ -1,5 +1,5 @@
 /*
- * recordbook.h
+ * feedtable.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -32,7 +32,7 @@
  * the store, in whatever order its pages came, or from another process. A key
  * never goes back to an older record. Owned by the feed's service.
  */
-class RecordBook
+class FeedTable
 {
 public:
     /** Takes @p record; false where one as new is known already. */
@@ -46,7 +46,7 @@
     std::vector<std::string> applySnapshot(std::span<const FeedRecord> records, std::uint64_t end);
 
     /** Everything before this offset is known; the next read begins here. */
-    std::uint64_t nextOffset() const { return mNext; }
+    std::uint64_t nextOffset() const { return mNextOffset; }
     void setNextOffset(std::uint64_t offset);
     bool isEmpty() const { return mRecords.empty(); }
 
@@ -57,7 +57,7 @@
 
 private:
     std::map<std::string, FeedRecord, std::less<>> mRecords;
-    std::uint64_t mNext = 0;
+    std::uint64_t mNextOffset = 0;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/membersilence.h
+++ b/src/libloomjunction/core/memberfailuredetector.h
@@ -1,5 +1,5 @@
 /*
- * membersilence.h
+ * memberfailuredetector.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -18,28 +18,28 @@
 namespace Loom {
 
 /** Tells a member that is gone from one that merely cannot be heard. */
-class MemberSilence
+class MemberFailureDetector
 {
 public:
     /** @p gap: a data centre that was silent for longer could not be heard. */
-    MemberSilence(std::string ownDataCentre, Milliseconds gap);
+    MemberFailureDetector(std::string ownDataCentre, Milliseconds maxGap);
 
     /** Some member of @p dataCentre was heard. */
     void noteHeard(std::string_view dataCentre, Instant at);
     /** Whether one of @p dataCentre that is silent since @p since counts as gone after @p bound. */
     bool isOverdue(std::string_view dataCentre, Instant since, Instant now,
-                   Milliseconds bound) const;
+                   Milliseconds timeout) const;
 
 private:
-    struct Hearing
+    struct ContactPeriod
     {
         Instant since; ///< without a gap
         Instant last;
     };
 
     std::string mOwnDataCentre;
-    Milliseconds mGap;
-    std::map<std::string, Hearing, std::less<>> mHearings; ///< by data centre
+    Milliseconds mMaxGap;
+    std::map<std::string, ContactPeriod, std::less<>> mContactPeriods; ///< by data centre
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/memberplan.cpp
+++ b/src/libloomjunction/core/memberplan.cpp
@@ -22,32 +22,32 @@
 // Gateways whose state one follows. Callers get their addresses from it, so there
 // must be some to choose from; to follow all of 149 would be 740 messages a second at
 // each gateway (reckoned: 148 others, 2.5 a second, both ways).
-constexpr std::size_t sMostFollowed = 16;
-constexpr std::size_t sMostFollowedNear = 12;
+constexpr std::size_t sMaxFollowed = 16;
+constexpr std::size_t sMaxFollowedLocal = 12;
 // Gateways that watch one agent, so that some may fail together.
-constexpr std::size_t sWatchers = 3;
+constexpr std::size_t sWatchersPerAgent = 3;
 
 } // namespace
 
-MemberPlan::MemberPlan(MemberPlace self, std::span<const MemberPlace> others)
+MemberPlan::MemberPlan(MemberLocation self, std::span<const MemberLocation> others)
     : mSelf(std::move(self))
     , mOthers(others)
 {
 }
 
 // Of one data centre, or of all for an empty one; this gateway among them.
-std::vector<std::string> MemberPlan::gatewaysOf(std::string_view dataCentre) const
+std::vector<std::string> MemberPlan::gatewaysIn(std::string_view dataCentre) const
 {
-    const auto isIn = [&](const MemberPlace &place) {
-        return dataCentre.empty() || place.dataCentre == dataCentre;
+    const auto isIn = [&](const MemberLocation &member) {
+        return dataCentre.empty() || member.dataCentre == dataCentre;
     };
     std::vector<std::string> keys;
     if (isIn(mSelf)) {
         keys.push_back(mSelf.key);
     }
-    for (const MemberPlace &place : mOthers) {
-        if (place.isGateway && isIn(place)) {
-            keys.push_back(place.key);
+    for (const MemberLocation &member : mOthers) {
+        if (member.isGateway && isIn(member)) {
+            keys.push_back(member.key);
         }
     }
     return keys;
@@ -55,8 +55,8 @@
 
 std::vector<std::string> MemberPlan::readerOrder(ReaderScope scope) const
 {
-    const bool isNear = scope == ReaderScope::DataCentre;
-    const std::vector<std::string> keys = gatewaysOf(isNear ? mSelf.dataCentre : "");
+    const bool isLocal = scope == ReaderScope::DataCentre;
+    const std::vector<std::string> keys = gatewaysIn(isLocal ? mSelf.dataCentre : "");
     std::vector<std::string> ordered;
     for (const std::size_t index : rendezvousOrder(sReadersKey, keys, keys.size())) {
         ordered.push_back(keys[index]);
@@ -66,20 +66,20 @@
 
 std::set<std::string> MemberPlan::gatewaysToFollow() const
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
-    for (const MemberPlace &place : mOthers) {
-        if (place.isGateway) {
-            (place.dataCentre == mSelf.dataCentre ? near : far).push_back(place.key);
+    std::vector<std::string> local;
+    std::vector<std::string> remote;
+    for (const MemberLocation &member : mOthers) {
+        if (member.isGateway) {
+            (member.dataCentre == mSelf.dataCentre ? local : remote).push_back(member.key);
         }
     }
     std::set<std::string> chosen;
-    if (near.size() + far.size() <= sMostFollowed) {
-        chosen.insert(near.begin(), near.end());
-        chosen.insert(far.begin(), far.end());
+    if (local.size() + remote.size() <= sMaxFollowed) {
+        chosen.insert(local.begin(), local.end());
+        chosen.insert(remote.begin(), remote.end());
         return chosen;
     }
-    for (const ReaderScope scope : {ReaderScope::Everywhere, ReaderScope::DataCentre}) {
+    for (const ReaderScope scope : {ReaderScope::Global, ReaderScope::DataCentre}) {
         const std::vector<std::string> readers = readerOrder(scope);
         for (std::size_t index = 0; index < std::min(sReaderCandidates, readers.size()); ++index) {
             if (readers[index] != mSelf.key) {
@@ -87,36 +87,36 @@
             }
         }
     }
-    const auto fill = [&](const std::vector<std::string> &keys, std::size_t most) {
+    const auto fill = [&](const std::vector<std::string> &keys, std::size_t limit) {
         for (const std::size_t index : rendezvousOrder(mSelf.key, keys, keys.size())) {
-            if (chosen.size() < most) {
+            if (chosen.size() < limit) {
                 chosen.insert(keys[index]);
             }
         }
     };
-    const std::size_t roomForFar = sMostFollowed - sMostFollowedNear;
-    fill(near, far.size() < roomForFar ? sMostFollowed - far.size() : sMostFollowedNear);
-    fill(far, sMostFollowed);
+    const std::size_t remoteSlots = sMaxFollowed - sMaxFollowedLocal;
+    fill(local, remote.size() < remoteSlots ? sMaxFollowed - remote.size() : sMaxFollowedLocal);
+    fill(remote, sMaxFollowed);
     return chosen;
 }
 
 // A few gateways of the agent's data centre, or of all where it has none.
-std::set<std::string> MemberPlan::stagersToWatch() const
+std::set<std::string> MemberPlan::agentsToWatch() const
 {
     std::set<std::string> watched;
-    for (const MemberPlace &place : mOthers) {
-        if (place.isGateway) {
+    for (const MemberLocation &member : mOthers) {
+        if (member.isGateway) {
             continue;
         }
-        std::vector<std::string> watchers = gatewaysOf(place.dataCentre);
+        std::vector<std::string> watchers = gatewaysIn(member.dataCentre);
         if (watchers.empty()) {
-            watchers = gatewaysOf("");
+            watchers = gatewaysIn("");
         }
-        const auto order = rendezvousOrder(place.key, watchers, sWatchers);
-        const bool isOwn = std::ranges::any_of(
+        const auto order = rendezvousOrder(member.key, watchers, sWatchersPerAgent);
+        const bool isWatchedHere = std::ranges::any_of(
             order, [&](std::size_t index) { return watchers[index] == mSelf.key; });
-        if (isOwn) {
-            watched.insert(place.key);
+        if (isWatchedHere) {
+            watched.insert(member.key);
         }
     }
     return watched;
--- a/src/libloomjunction/core/memberplan.h
+++ b/src/libloomjunction/core/memberplan.h
@@ -18,7 +18,7 @@
 namespace Loom {
 
 /** Where a process of the system stands. */
-struct MemberPlace
+struct MemberLocation
 {
     std::string key; ///< of its record among the members
     std::string dataCentre;
@@ -28,7 +28,7 @@
 /** Among which gateways one reads the store for the others. */
 enum class ReaderScope : std::uint8_t
 {
-    Everywhere,
+    Global,
     DataCentre,
 };
 
@@ -41,20 +41,20 @@
 {
 public:
     /** @p self: the gateway itself, which @p others do not hold. */
-    MemberPlan(MemberPlace self, std::span<const MemberPlace> others);
+    MemberPlan(MemberLocation self, std::span<const MemberLocation> others);
 
     /** Keys of gateways whose state this one follows. */
     std::set<std::string> gatewaysToFollow() const;
     /** Keys of agents that this gateway asks even when it needs nothing of them. */
-    std::set<std::string> stagersToWatch() const;
+    std::set<std::string> agentsToWatch() const;
     /** Gateways in the order in which they read; the same at every one of them. */
     std::vector<std::string> readerOrder(ReaderScope scope) const;
 
 private:
-    std::vector<std::string> gatewaysOf(std::string_view dataCentre) const;
+    std::vector<std::string> gatewaysIn(std::string_view dataCentre) const;
 
-    MemberPlace mSelf;
-    std::span<const MemberPlace> mOthers;
+    MemberLocation mSelf;
+    std::span<const MemberLocation> mOthers;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/quarantine.cpp
+++ b/src/libloomjunction/core/quarantine.cpp
@@ -15,20 +15,21 @@
 namespace {
 
 // Replicas that are named in an entry; more tell nothing.
-constexpr std::size_t sMostLives = 16;
+constexpr std::size_t sMaxIncarnations = 16;
 
 } // namespace
 
-Quarantine::Held &Quarantine::hold(const RequestDigest &digest, const std::string &account)
+Quarantine::TrackedRequest &Quarantine::findOrCreate(const RequestDigest &digest,
+                                                     const std::string &account)
 {
     const auto found = mEntries.find(digest);
     if (found != mEntries.end()) {
         return found->second;
     }
-    if (mEntries.size() >= mBounds.most) {
-        makeRoom(account);
+    if (mEntries.size() >= mBounds.maxEntries) {
+        evictOne(account);
     }
-    Held &held = mEntries[digest];
+    TrackedRequest &held = mEntries[digest];
     held.entry.digest = digest;
     held.entry.account = account;
     return held;
@@ -36,7 +37,7 @@
 
 // An account that floods the table pushes out its own entries; of those, the one that
 // says least.
-void Quarantine::makeRoom(const std::string &account)
+void Quarantine::evictOne(const std::string &account)
 {
     std::map<std::string, std::size_t> counts{{account, 1}};
     for (const auto &[digest, held] : mEntries) {
@@ -44,19 +45,19 @@
     }
     const auto largest
         = std::ranges::max_element(counts, {}, [](const auto &item) { return item.second; });
-    const Held *victim = nullptr;
-    const auto saysLess = [](const QuarantineEntry &one, const QuarantineEntry &other) {
+    const TrackedRequest *evicted = nullptr;
+    const auto isLessRelevant = [](const QuarantineEntry &one, const QuarantineEntry &other) {
         return one.lives.size() != other.lives.size() ? one.lives.size() < other.lives.size()
-                                                      : one.lastCrash < other.lastCrash;
+                                                      : one.lastEventAt < other.lastEventAt;
     };
     for (const auto &[digest, held] : mEntries) {
-        const bool isTheirs = held.entry.account == largest->first;
-        if (isTheirs && (victim == nullptr || saysLess(held.entry, victim->entry))) {
-            victim = &held;
+        const bool isOfLargest = held.entry.account == largest->first;
+        if (isOfLargest && (evicted == nullptr || isLessRelevant(held.entry, evicted->entry))) {
+            evicted = &held;
         }
     }
-    if (victim != nullptr) {
-        erase(RequestDigest(victim->entry.digest));
+    if (evicted != nullptr) {
+        erase(RequestDigest(evicted->entry.digest));
     }
 }
 
@@ -70,7 +71,7 @@
     mEntries.erase(found);
 }
 
-void Quarantine::noteChange(Held &held)
+void Quarantine::noteChange(TrackedRequest &held)
 {
     mByRevision.erase(held.revision);
     held.revision = ++mRevision;
@@ -79,25 +80,26 @@
 
 // Ever longer for each crash beyond those that it took: one that goes on ending replicas
 // gets a trial ever more rarely, and one that was refused wrongly gets its first soon.
-Milliseconds Quarantine::termOf(const QuarantineEntry &entry) const
+Milliseconds Quarantine::refusalPeriod(const QuarantineEntry &entry) const
 {
-    const std::size_t beyond = entry.lives.size() - std::min(entry.lives.size(), mBounds.crashes);
-    return mBounds.terms[std::min(beyond, mBounds.terms.size() - 1)];
+    const std::size_t extraCrashes
+        = entry.lives.size() - std::min(entry.lives.size(), mBounds.crashes);
+    return mBounds.refusalPeriods[std::min(extraCrashes, mBounds.refusalPeriods.size() - 1)];
 }
 
 bool Quarantine::isRefused(const QuarantineEntry &entry, Instant now) const
 {
-    return entry.lives.size() >= mBounds.crashes && now < entry.lastCrash + termOf(entry);
+    return entry.lives.size() >= mBounds.crashes && now < entry.lastEventAt + refusalPeriod(entry);
 }
 
-bool Quarantine::isOver(const QuarantineEntry &entry, Instant now) const
+bool Quarantine::isExpired(const QuarantineEntry &entry, Instant now) const
 {
     const bool wasRefused = entry.lives.size() >= mBounds.crashes;
-    const Milliseconds kept = wasRefused ? 2 * termOf(entry) : mBounds.memory;
-    return now >= entry.lastCrash + std::max(kept, mBounds.memory);
+    const Milliseconds kept = wasRefused ? 2 * refusalPeriod(entry) : mBounds.crashMemory;
+    return now >= entry.lastEventAt + std::max(kept, mBounds.crashMemory);
 }
 
-QuarantineNews Quarantine::afterCrashes(Held &held, bool wasRefused, Instant now)
+QuarantineNews Quarantine::changeAfterCrash(TrackedRequest &held, bool wasRefused, Instant now)
 {
     noteChange(held);
     return !wasRefused && isRefused(held.entry, now) ? QuarantineNews::Refused
@@ -105,17 +107,17 @@
 }
 
 QuarantineNews Quarantine::noteCrash(const RequestDigest &digest, const std::string &account,
-                                     const std::string &life, Instant now)
+                                     const std::string &incarnation, Instant now)
 {
-    Held &held = hold(digest, account);
+    TrackedRequest &held = findOrCreate(digest, account);
     QuarantineEntry &entry = held.entry;
     const bool wasRefused = isRefused(entry, now);
-    if (entry.lives.contains(life) || entry.lives.size() >= sMostLives) {
+    if (entry.lives.contains(incarnation) || entry.lives.size() >= sMaxIncarnations) {
         return QuarantineNews::Nothing;
     }
-    entry.lives.insert(life);
-    entry.lastCrash = now;
-    return afterCrashes(held, wasRefused, now);
+    entry.lives.insert(incarnation);
+    entry.lastEventAt = now;
+    return changeAfterCrash(held, wasRefused, now);
 }
 
 // What ends replicas ends each that runs it. So one good end says that it was beside the
@@ -129,37 +131,39 @@
     QuarantineEntry &entry = found->second.entry;
     ++entry.epoch;
     entry.lives.clear();
-    entry.lastCrash = now;
+    entry.lastEventAt = now;
     noteChange(found->second);
     return true;
 }
 
-QuarantineNews Quarantine::merge(const QuarantineEntry &told, Instant now)
+QuarantineNews Quarantine::merge(const QuarantineEntry &reported, Instant now)
 {
-    const auto found = mEntries.find(told.digest);
+    const auto found = mEntries.find(reported.digest);
     const std::uint32_t epoch = found == mEntries.end() ? 0 : found->second.entry.epoch;
-    const bool isNewEpoch = told.epoch > epoch;
-    if (told.epoch < epoch || (told.lives.empty() && !isNewEpoch) || isOver(told, now)) {
+    const bool isNewEpoch = reported.epoch > epoch;
+    if (reported.epoch < epoch || (reported.lives.empty() && !isNewEpoch)
+        || isExpired(reported, now)) {
         return QuarantineNews::Nothing;
     }
-    Held &held = hold(told.digest, told.account);
+    TrackedRequest &held = findOrCreate(reported.digest, reported.account);
     QuarantineEntry &entry = held.entry;
     const bool wasRefused = isRefused(entry, now);
-    const std::size_t before = entry.lives.size();
+    const std::size_t countBefore = entry.lives.size();
     if (isNewEpoch) {
-        entry.epoch = told.epoch;
+        entry.epoch = reported.epoch;
         entry.lives.clear();
     }
-    for (const std::string &life : told.lives) {
-        if (entry.lives.size() < sMostLives) {
-            entry.lives.insert(life);
+    for (const std::string &incarnation : reported.lives) {
+        if (entry.lives.size() < sMaxIncarnations) {
+            entry.lives.insert(incarnation);
         }
     }
-    if (!isNewEpoch && entry.lives.size() == before) {
+    if (!isNewEpoch && entry.lives.size() == countBefore) {
         return QuarantineNews::Nothing;
     }
-    entry.lastCrash = isNewEpoch ? told.lastCrash : std::max(entry.lastCrash, told.lastCrash);
-    return afterCrashes(held, wasRefused, now);
+    entry.lastEventAt
+        = isNewEpoch ? reported.lastEventAt : std::max(entry.lastEventAt, reported.lastEventAt);
+    return changeAfterCrash(held, wasRefused, now);
 }
 
 // Trials are given by one gateway, one at a time: where each gave its own, a request that
@@ -173,28 +177,28 @@
     }
     const QuarantineEntry &entry = found->second.entry;
     if (isRefused(entry, now)) {
-        return std::chrono::ceil<Milliseconds>(entry.lastCrash + termOf(entry) - now);
+        return std::chrono::ceil<Milliseconds>(entry.lastEventAt + refusalPeriod(entry) - now);
     }
-    const std::optional<Instant> &tried = found->second.triedAt;
-    const bool isOnTrial = tried && now < *tried + mBounds.trial;
-    if (isHome && !isOnTrial) {
+    const std::optional<Instant> &trialStart = found->second.trialStartedAt;
+    const bool isTrialRunning = trialStart && now < *trialStart + mBounds.trialTimeout;
+    if (isHome && !isTrialRunning) {
         return std::nullopt;
     }
-    return mBounds.elsewhere;
+    return mBounds.retryElsewhere;
 }
 
 void Quarantine::noteSent(const RequestDigest &digest, Instant now)
 {
     const auto found = mEntries.find(digest);
     if (found != mEntries.end() && found->second.entry.lives.size() >= mBounds.crashes) {
-        found->second.triedAt = now;
+        found->second.trialStartedAt = now;
     }
 }
 
 bool Quarantine::isHeldBack(const RequestDigest &digest) const
 {
     const QuarantineEntry *entry = find(digest);
-    return entry != nullptr && entry->lives.size() >= mBounds.heldBack;
+    return entry != nullptr && entry->lives.size() >= mBounds.noRepeatAfter;
 }
 
 const QuarantineEntry *Quarantine::find(const RequestDigest &digest) const
@@ -204,11 +208,11 @@
 }
 
 std::vector<QuarantineEntry> Quarantine::changedSince(std::uint64_t &revision,
-                                                      std::size_t most) const
+                                                      std::size_t maxEntries) const
 {
     std::vector<QuarantineEntry> changed;
     auto next = mByRevision.upper_bound(revision);
-    while (next != mByRevision.end() && changed.size() < most) {
+    while (next != mByRevision.end() && changed.size() < maxEntries) {
         changed.push_back(mEntries.at(next->second).entry);
         revision = next->first;
         ++next;
@@ -221,16 +225,16 @@
 
 std::vector<RequestDigest> Quarantine::sweep(Instant now)
 {
-    std::vector<RequestDigest> over;
+    std::vector<RequestDigest> expired;
     for (const auto &[digest, held] : mEntries) {
-        if (isOver(held.entry, now)) {
-            over.push_back(digest);
+        if (isExpired(held.entry, now)) {
+            expired.push_back(digest);
         }
     }
-    for (const RequestDigest &digest : over) {
+    for (const RequestDigest &digest : expired) {
         erase(digest);
     }
-    return over;
+    return expired;
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/quarantine.h
+++ b/src/libloomjunction/core/quarantine.h
@@ -22,17 +22,17 @@
 namespace Loom {
 
 /** Bounds of a Quarantine; their reasons stand in the source. */
-struct QuarantineBounds
+struct QuarantineLimits
 {
     std::size_t crashes = 3; ///< so many replicas end under a request before it is refused
-    std::size_t heldBack = 2; ///< from so many on, it is not repeated within one call
+    std::size_t noRepeatAfter = 2; ///< from so many on, it is not repeated within one call
     /** Of refusals, the next one after each trial that ended a replica. */
-    std::array<Milliseconds, 4> terms{Milliseconds(60'000), Milliseconds(600'000),
-                                      Milliseconds(3'600'000), Milliseconds(28'800'000)};
-    Milliseconds trial{10'000}; ///< one that has not ended by then tells nothing
-    Milliseconds elsewhere{1'000}; ///< callers that come when another gateway gives the trial
-    Milliseconds memory{600'000}; ///< crashes that are too few are forgotten after it
-    std::size_t most = 4'096; ///< requests that are remembered
+    std::array<Milliseconds, 4> refusalPeriods{Milliseconds(60'000), Milliseconds(600'000),
+                                               Milliseconds(3'600'000), Milliseconds(28'800'000)};
+    Milliseconds trialTimeout{10'000}; ///< one that has not ended by then tells nothing
+    Milliseconds retryElsewhere{1'000}; ///< callers that come when another gateway gives the trial
+    Milliseconds crashMemory{600'000}; ///< crashes that are too few are forgotten after it
+    std::size_t maxEntries = 4'096; ///< requests that are remembered
 };
 
 /** What is known of one request that replicas ended under. */
@@ -43,7 +43,7 @@
     /** Good ends so far; crashes of an earlier epoch count no more. */
     std::uint32_t epoch = 0;
     std::set<std::string> lives; ///< of the replicas that ended while they ran it
-    Instant lastCrash; ///< or the last good end
+    Instant lastEventAt; ///< or the last good end
 };
 
 /** What a crash, or news of some, changed. */
@@ -62,7 +62,7 @@
 class Quarantine
 {
 public:
-    explicit Quarantine(QuarantineBounds bounds = {})
+    explicit Quarantine(QuarantineLimits bounds = {})
         : mBounds(bounds)
     {
     }
@@ -72,11 +72,11 @@
 
     /** The replica life @p life ended while it ran the request. */
     QuarantineNews noteCrash(const RequestDigest &digest, const std::string &account,
-                             const std::string &life, Instant now);
+                             const std::string &incarnation, Instant now);
     /** It ran to a good end somewhere; true where that clears it of anything. */
     bool noteGoodEnd(const RequestDigest &digest, Instant now);
     /** What another gateway knows. */
-    QuarantineNews merge(const QuarantineEntry &told, Instant now);
+    QuarantineNews merge(const QuarantineEntry &reported, Instant now);
 
     /**
      * For how long the request is refused yet; nothing: it may run. When its time is over
@@ -96,30 +96,31 @@
      * Entries that changed after @p revision, oldest change first, @p most of them.
      * @p revision becomes that of the last one, or of now where none is left.
      */
-    std::vector<QuarantineEntry> changedSince(std::uint64_t &revision, std::size_t most) const;
+    std::vector<QuarantineEntry> changedSince(std::uint64_t &revision,
+                                              std::size_t maxEntries) const;
 
     /** Forgets what is over; gives the requests. */
     std::vector<RequestDigest> sweep(Instant now);
 
 private:
-    struct Held
+    struct TrackedRequest
     {
         QuarantineEntry entry;
         std::uint64_t revision = 0;
-        std::optional<Instant> triedAt; ///< here, and no end of it is known
+        std::optional<Instant> trialStartedAt; ///< here, and no end of it is known
     };
 
-    Held &hold(const RequestDigest &digest, const std::string &account);
-    void makeRoom(const std::string &account);
-    void noteChange(Held &held);
-    QuarantineNews afterCrashes(Held &held, bool wasRefused, Instant now);
+    TrackedRequest &findOrCreate(const RequestDigest &digest, const std::string &account);
+    void evictOne(const std::string &account);
+    void noteChange(TrackedRequest &held);
+    QuarantineNews changeAfterCrash(TrackedRequest &held, bool wasRefused, Instant now);
     bool isRefused(const QuarantineEntry &entry, Instant now) const;
-    Milliseconds termOf(const QuarantineEntry &entry) const;
-    bool isOver(const QuarantineEntry &entry, Instant now) const;
+    Milliseconds refusalPeriod(const QuarantineEntry &entry) const;
+    bool isExpired(const QuarantineEntry &entry, Instant now) const;
     void erase(const RequestDigest &digest);
 
-    QuarantineBounds mBounds;
-    std::map<RequestDigest, Held> mEntries;
+    QuarantineLimits mBounds;
+    std::map<RequestDigest, TrackedRequest> mEntries;
     std::map<std::uint64_t, RequestDigest> mByRevision;
     std::uint64_t mRevision = 0;
 };
--- a/src/libloomjunction/core/refusalshare.cpp
+++ b/src/libloomjunction/core/refusalshare.cpp
@@ -24,7 +24,7 @@
 
 void RefusalShare::note(bool hasRoom, Instant now)
 {
-    const double kept = keptAfter(now - mAt, sHalfMs);
+    const double kept = decayFactor(now - mAt, sHalfMs);
     mCalls = mCalls * kept + 1;
     mRefused = mRefused * kept + (hasRoom ? 0 : 1);
     mAt = now;
@@ -32,7 +32,7 @@
 
 double RefusalShare::share(Instant now) const
 {
-    const double kept = keptAfter(now - mAt, sHalfMs);
+    const double kept = decayFactor(now - mAt, sHalfMs);
     return mRefused * kept / (mCalls * kept + sUsualCalls);
 }
 
--- a/src/libloomjunction/core/reloadturn.cpp
+++ b/src/libloomjunction/core/reloadschedule.cpp
@@ -1,12 +1,12 @@
 /*
- * reloadturn.cpp
+ * reloadschedule.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "reloadturn.h"
+#include "reloadschedule.h"
 
 #include "rendezvous.h"
 
@@ -19,24 +19,25 @@
 
 // Chunks take about two fifths of the time to arrive. After the last turn a
 // replica still has to end what is running, and to take the weights.
-constexpr double sFirstTurn = 0.40;
-constexpr double sLastTurn = 0.80;
+constexpr double sFirstTurnFraction = 0.40;
+constexpr double sLastTurnFraction = 0.80;
 
-Milliseconds part(Milliseconds whole, double share)
+Milliseconds fractionOf(Milliseconds whole, double fraction)
 {
-    return Milliseconds(static_cast<std::int64_t>(static_cast<double>(whole.count()) * share));
+    return Milliseconds(static_cast<std::int64_t>(static_cast<double>(whole.count()) * fraction));
 }
 
 } // namespace
 
-ReloadTurn::ReloadTurn(Milliseconds limit)
-    : mFirst(part(limit, sFirstTurn))
-    , mLast(part(limit, sLastTurn))
+ReloadSchedule::ReloadSchedule(Milliseconds limit)
+    : mFirstOffset(fractionOf(limit, sFirstTurnFraction))
+    , mLastOffset(fractionOf(limit, sLastTurnFraction))
 {
 }
 
-Instant ReloadTurn::at(std::string_view versionKey, std::string_view self,
-                       std::span<const std::string> members, Instant namedAt, Instant readyAt) const
+Instant ReloadSchedule::at(std::string_view versionKey, std::string_view self,
+                           std::span<const std::string> members, Instant announcedAt,
+                           Instant readyAt) const
 {
     std::vector<std::string> all(members.begin(), members.end());
     if (std::ranges::find(all, self) == all.end()) {
@@ -48,8 +49,8 @@
     const auto rank = static_cast<std::int64_t>(own - order.begin());
     const auto last = std::max<std::int64_t>(static_cast<std::int64_t>(all.size()) - 1, 1);
     // Turns that were over before the weights came would all be taken at once.
-    const Instant end = namedAt + mLast;
-    const Instant begin = std::min(std::max(namedAt + mFirst, readyAt), end);
+    const Instant end = announcedAt + mLastOffset;
+    const Instant begin = std::min(std::max(announcedAt + mFirstOffset, readyAt), end);
     return begin + (end - begin) * rank / last;
 }
 
--- a/src/libloomjunction/core/reloadturn.h
+++ b/src/libloomjunction/core/reloadschedule.h
@@ -1,5 +1,5 @@
 /*
- * reloadturn.h
+ * reloadschedule.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -23,22 +23,22 @@
  * the others carry the load. Nothing is agreed on: every agent orders the
  * members by the same hash, and a wrong view of them only moves its turn.
  */
-class ReloadTurn
+class ReloadSchedule
 {
 public:
     /** @p limit: the time from naming a version until older ones may begin nothing. */
-    explicit ReloadTurn(Milliseconds limit);
+    explicit ReloadSchedule(Milliseconds limit);
 
     /**
      * The moment of @p self among @p members (with or without it). @p readyAt:
      * when the version was here whole; the others have it at about that time.
      */
     Instant at(std::string_view versionKey, std::string_view self,
-               std::span<const std::string> members, Instant namedAt, Instant readyAt) const;
+               std::span<const std::string> members, Instant announcedAt, Instant readyAt) const;
 
 private:
-    Milliseconds mFirst;
-    Milliseconds mLast;
+    Milliseconds mFirstOffset;
+    Milliseconds mLastOffset;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/rendezvous.cpp
+++ b/src/libloomjunction/core/rendezvous.cpp
@@ -32,13 +32,13 @@
 
     std::vector<std::size_t> order(nodes.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
-    const std::size_t kept = std::min(count, order.size());
-    const auto heavier = [&](std::size_t a, std::size_t b) {
+    const std::size_t resultCount = std::min(count, order.size());
+    const auto isHeavier = [&](std::size_t a, std::size_t b) {
         return weights[a] != weights[b] ? weights[a] > weights[b] : nodes[a] < nodes[b];
     };
-    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(kept), order.end(),
-                      heavier);
-    order.resize(kept);
+    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(resultCount),
+                      order.end(), isHeavier);
+    order.resize(resultCount);
     return order;
 }
 
@@ -51,23 +51,24 @@
     if (nodes.empty()) {
         return owners;
     }
-    const std::size_t least = keys.size() / nodes.size();
-    std::vector<std::size_t> owned(nodes.size());
+    const std::size_t baseShare = keys.size() / nodes.size();
+    std::vector<std::size_t> ownedCounts(nodes.size());
     owners.reserve(keys.size());
     for (const std::string &key : keys) {
         // The last keys, fewer than nodes, go to one more each.
-        const std::size_t most = owners.size() < least * nodes.size() ? least : least + 1;
+        const std::size_t maxOwned
+            = owners.size() < baseShare * nodes.size() ? baseShare : baseShare + 1;
         std::size_t best = nodes.size();
         std::uint64_t bestWeight = 0;
         for (std::size_t node = 0; node < nodes.size(); ++node) {
             const std::uint64_t weight = rendezvousWeight(key, nodes[node]);
             const bool isBetter = best == nodes.size() || weight > bestWeight;
-            if (owned[node] < most && isBetter) {
+            if (ownedCounts[node] < maxOwned && isBetter) {
                 best = node;
                 bestWeight = weight;
             }
         }
-        ++owned[best];
+        ++ownedCounts[best];
         owners.push_back(best);
     }
     return owners;
--- a/src/libloomjunction/core/replica.h
+++ b/src/libloomjunction/core/replica.h
@@ -11,7 +11,7 @@
 #include "filllevel.h"
 #include "instant.h"
 #include "lifenotices.h"
-#include "namedlimit.h"
+#include "replicaratelimit.h"
 
 #include <cstdint>
 #include <deque>
@@ -130,7 +130,7 @@
     double answerMs = 0; ///< smoothed time to an answer or a first event
     LifeNotices notices;
     FillLevel fillLevel;
-    NamedLimit limit;
+    ReplicaRateLimit limit;
     Instant noPermitUntil; ///< under that limit
     std::deque<Instant> sentLately; ///< by this entry, within the span that permits count
     Instant goneAt; ///< the store took its record away; zero: it did not
--- a/src/libloomjunction/core/replicaoffer.cpp
+++ b/src/libloomjunction/core/replicaoffer.cpp
@@ -124,7 +124,7 @@
     offer.answer = model.firstEvent(work, mQuery.promptTokens);
     offer.cost = offer.answer;
     const bool isFull = work.running + work.unread >= slots;
-    offer.step = isFull ? model.turn() : model.read(mQuery.engine->usualPrompt);
+    offer.step = isFull ? model.turn() : model.read(mQuery.engine->meanPromptTokens);
     const double goal = static_cast<double>((mQuery.goal - mQuery.waited).count()) * sGoalUsed;
     if (replica.load && replica.load->isLinkSlow) {
         offer.cost += sSlowLinkTollMs;
--- a/src/libloomjunction/core/replicaoffer.h
+++ b/src/libloomjunction/core/replicaoffer.h
@@ -28,7 +28,7 @@
 {
     std::string_view service;
     std::string_view dataCentre; ///< of this entry
-    const EngineFigures *engine = nullptr; ///< null for a plain service
+    const EngineProfile *engine = nullptr; ///< null for a plain service
     Milliseconds goal{0};
     double promptTokens = 0; ///< zero: unknown
     std::uint64_t leastVersion = 0; ///< of the weights; zero: any, and none is needed
--- a/src/libloomjunction/core/namedlimit.h
+++ b/src/libloomjunction/core/replicaratelimit.h
@@ -1,5 +1,5 @@
 /*
- * namedlimit.h
+ * replicaratelimit.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -19,16 +19,16 @@
 enum class LimitChange : std::uint8_t
 {
     Nothing, ///< known already, or older than what is known
-    Begun,
+    Started,
     Changed,
-    Ended,
+    Removed,
 };
 
 /**
  * The requests a second that a replica takes from all gateways together, as one process
  * knows them. Of several reports the newest counts, in whatever order they come.
  */
-class NamedLimit
+class ReplicaRateLimit
 {
 public:
     /** Requests a second; nothing: the replica takes what it can. */
@@ -39,7 +39,7 @@
     /** An answer that came here @p now named @p perSecond. */
     LimitChange name(double perSecond, Instant now);
     /** An answer without a limit came @p now to a request that was sent at @p sentAt. */
-    LimitChange nameNone(Instant sentAt, Instant now);
+    LimitChange noteNoLimit(Instant sentAt, Instant now);
     /** Another process heard @p perSecond, or that there is none, at @p at. */
     LimitChange hear(std::optional<double> perSecond, Instant at);
 
--- a/src/libloomjunction/core/replicaset.cpp
+++ b/src/libloomjunction/core/replicaset.cpp
@@ -389,7 +389,7 @@
     ++replica.startedSince;
     replica.startedLately.push_back(now);
     replica.sentLately.push_back(now);
-    while (replica.sentLately.front() + sSendSpan <= now) {
+    while (replica.sentLately.front() + sSendWindow <= now) {
         replica.sentLately.pop_front();
     }
     ++replica.awaiting;
@@ -533,7 +533,7 @@
 LimitChange ReplicaSet::nameNoLimit(std::string_view id, Instant sentAt, Instant now)
 {
     const auto it = mReplicas.find(id);
-    return it == mReplicas.end() ? LimitChange::Nothing : it->second.limit.nameNone(sentAt, now);
+    return it == mReplicas.end() ? LimitChange::Nothing : it->second.limit.noteNoLimit(sentAt, now);
 }
 
 NoticeChange ReplicaSet::hearNotice(std::string_view id, std::uint64_t born,
--- a/src/libloomjunction/core/requestdigest.cpp
+++ b/src/libloomjunction/core/requestdigest.cpp
@@ -18,7 +18,7 @@
 
 // 128 bits of SHA-256: nobody can make a second request to order that another's
 // crashes are put down to.
-constexpr std::size_t sDigits = 32;
+constexpr std::size_t sHexLength = 32;
 constexpr std::string_view sHexDigits = "0123456789abcdef";
 
 } // namespace
@@ -29,16 +29,16 @@
 {
     RequestDigest digest;
     digest.mText = sha256Hex(sha256Hex(account) + sha256Hex(target) + sha256Hex(body));
-    digest.mText.resize(sDigits);
+    digest.mText.resize(sHexLength);
     return digest;
 }
 
 tl::expected<RequestDigest, std::string> RequestDigest::parse(std::string_view text)
 {
     const bool isHex
-        = text.size() == sDigits && text.find_first_not_of(sHexDigits) == std::string_view::npos;
+        = text.size() == sHexLength && text.find_first_not_of(sHexDigits) == std::string_view::npos;
     if (!isHex) {
-        return tl::unexpected("expected " + std::to_string(sDigits) + " hex digits");
+        return tl::unexpected("expected " + std::to_string(sHexLength) + " hex digits");
     }
     RequestDigest digest;
     digest.mText = text;
--- a/src/libloomjunction/core/retrybudget.cpp
+++ b/src/libloomjunction/core/retrybudget.cpp
@@ -14,7 +14,7 @@
 
 void RetryBudget::noteRequest()
 {
-    mSaved = std::min(sMost, mSaved + mPercent);
+    mSaved = std::min(sMaxSaved, mSaved + mPercent);
 }
 
 bool RetryBudget::take()
--- a/src/libloomjunction/core/retrybudget.h
+++ b/src/libloomjunction/core/retrybudget.h
@@ -29,10 +29,10 @@
 private:
     // In hundredths of a retry, so that percents add up exactly.
     static constexpr std::uint32_t sOneRetry = 100;
-    static constexpr std::uint32_t sMost = 20 * sOneRetry;
+    static constexpr std::uint32_t sMaxSaved = 20 * sOneRetry;
 
     std::uint32_t mPercent;
-    std::uint32_t mSaved = sMost;
+    std::uint32_t mSaved = sMaxSaved;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/routetable.cpp
+++ b/src/libloomjunction/core/routetable.cpp
@@ -36,7 +36,7 @@
             mKeys.emplace(key, &account);
         }
     }
-    for (const ServiceFigures &service : mConfig.services) {
+    for (const ServiceConfig &service : mConfig.services) {
         mServices.emplace(service.name, &service);
     }
 }
@@ -54,21 +54,21 @@
     return nullptr;
 }
 
-const ClientAccount *RouteTable::accountOf(std::string_view key) const
+const ClientAccount *RouteTable::accountForKey(std::string_view key) const
 {
     const auto it = mKeys.find(std::string(key));
     return it == mKeys.end() ? nullptr : it->second;
 }
 
-const ServiceFigures *RouteTable::service(std::string_view name) const
+const ServiceConfig *RouteTable::service(std::string_view name) const
 {
     const auto it = mServices.find(std::string(name));
     return it == mServices.end() ? nullptr : it->second;
 }
 
-const OriginFigures *RouteTable::origin() const
+const OriginConfig *RouteTable::origin() const
 {
-    for (const ServiceFigures &service : mConfig.services) {
+    for (const ServiceConfig &service : mConfig.services) {
         if (service.origin) {
             return &*service.origin;
         }
--- a/src/libloomjunction/core/sendpermits.cpp
+++ b/src/libloomjunction/core/sendpermits.cpp
@@ -15,12 +15,12 @@
 namespace {
 
 // A replica that takes nothing gets so much, or nobody would learn when that ends.
-constexpr double sLeastRate = 0.2;
+constexpr double sMinRate = 0.2;
 // What was not asked for is kept for this long: callers come in bunches.
-constexpr double sKeptSeconds = 0.5;
+constexpr double sBurstSeconds = 0.5;
 // Of the limit, that may be reached over a whole span. What came before the limit was
 // named counts, so that a replica in need rests until its load is near what it takes.
-constexpr double sMostOverSpan = 1.25;
+constexpr double sWindowRateFactor = 1.25;
 
 double secondsBetween(Instant from, Instant to)
 {
@@ -34,25 +34,25 @@
 
 } // namespace
 
-double SendPermits::depth() const
+double SendPermits::burstSize() const
 {
-    return 1 + mRate * sKeptSeconds;
+    return 1 + mRate * sBurstSeconds;
 }
 
 double SendPermits::tokensAt(Instant now) const
 {
-    return std::min(depth(), mTokens + mRate * std::max(0.0, secondsBetween(mFilledAt, now)));
+    return std::min(burstSize(), mTokens + mRate * std::max(0.0, secondsBetween(mRefilledAt, now)));
 }
 
-std::size_t SendPermits::mostInSpan() const
+std::size_t SendPermits::maxSendsInWindow() const
 {
-    const double span = std::chrono::duration<double>(sSendSpan).count();
-    return 1 + static_cast<std::size_t>(mRate * span * sMostOverSpan);
+    const double window = std::chrono::duration<double>(sSendWindow).count();
+    return 1 + static_cast<std::size_t>(mRate * window * sWindowRateFactor);
 }
 
-void SendPermits::forget(Instant now)
+void SendPermits::dropExpired(Instant now)
 {
-    while (!mSent.empty() && mSent.front() + sSendSpan <= now) {
+    while (!mSent.empty() && mSent.front() + sSendWindow <= now) {
         mSent.pop_front();
     }
 }
@@ -61,8 +61,8 @@
 void SendPermits::setRate(double perSecond, Instant now)
 {
     mTokens = mRate > 0 ? tokensAt(now) : 0;
-    mFilledAt = now;
-    mRate = std::max(perSecond, sLeastRate);
+    mRefilledAt = now;
+    mRate = std::max(perSecond, sMinRate);
 }
 
 void SendPermits::noteSend(Instant at)
@@ -72,27 +72,27 @@
 
 Microseconds SendPermits::wait(Instant now) const
 {
-    Microseconds longest{0};
-    const double lacking = 1 - tokensAt(now);
-    if (lacking > 0) {
-        longest = inMicroseconds(lacking / mRate);
+    Microseconds delay{0};
+    const double missingTokens = 1 - tokensAt(now);
+    if (missingTokens > 0) {
+        delay = inMicroseconds(missingTokens / mRate);
     }
-    const std::size_t most = mostInSpan();
+    const std::size_t most = maxSendsInWindow();
     if (mSent.size() >= most) {
-        const Instant leaves = mSent[mSent.size() - most] + sSendSpan;
-        longest = std::max<Microseconds>(longest, leaves - now);
+        const Instant expiresAt = mSent[mSent.size() - most] + sSendWindow;
+        delay = std::max<Microseconds>(delay, expiresAt - now);
     }
-    return longest;
+    return delay;
 }
 
 bool SendPermits::take(Instant now)
 {
-    forget(now);
+    dropExpired(now);
     if (wait(now) > Microseconds(0)) {
         return false;
     }
     mTokens = tokensAt(now) - 1;
-    mFilledAt = now;
+    mRefilledAt = now;
     noteSend(now);
     return true;
 }
--- a/src/libloomjunction/core/sendpermits.h
+++ b/src/libloomjunction/core/sendpermits.h
@@ -16,7 +16,7 @@
 namespace Loom {
 
 /** How far back sends count when a limit is named or falls. */
-inline constexpr Milliseconds sSendSpan{4'000};
+inline constexpr Milliseconds sSendWindow{4'000};
 
 /**
  * Hands out the sends to one replica that named a limit, for all gateways together. One
@@ -38,13 +38,13 @@
 
 private:
     double tokensAt(Instant now) const;
-    double depth() const;
-    std::size_t mostInSpan() const;
-    void forget(Instant now);
+    double burstSize() const;
+    std::size_t maxSendsInWindow() const;
+    void dropExpired(Instant now);
 
     double mRate = 0;
     double mTokens = 0;
-    Instant mFilledAt;
+    Instant mRefilledAt;
     std::deque<Instant> mSent; ///< within the last span
 };
 
--- a/src/libloomjunction/core/sharedretrybudget.cpp
+++ b/src/libloomjunction/core/sharedretrybudget.cpp
@@ -17,23 +17,23 @@
 
 // Requests of which the other entries know nothing, and requests counted in
 // the window before the one that judges them, must not break the bound.
-constexpr double sRatioUsed = 0.7;
+constexpr double sRatioFraction = 0.7;
 // Within a window an entry can spend what it saved and what it earns meanwhile:
 // half each, so that both together are the share.
-constexpr double sSavedPart = 0.5;
+constexpr double sBurstFraction = 0.5;
 // Earned by requests and not spent yet: what is spent in a window may have been
 // earned before it. The parts of the ratio and of the extra that are not used
 // make up for both.
-constexpr double sLeastSaved = 4;
-constexpr double sSavedRatio = 0.2;
-constexpr double sExtraUsed = 0.7;
+constexpr double sMinEarnedCap = 4;
+constexpr double sEarnedCapRatio = 0.2;
+constexpr double sExtraFraction = 0.7;
 
 } // namespace
 
-SharedRetryBudget::SharedRetryBudget(RetryBounds bounds, Instant born)
+SharedRetryBudget::SharedRetryBudget(RetryBounds bounds, Instant startedAt)
     : mBounds(bounds)
-    , mLast(born)
-    , mLastRequest(born)
+    , mLastRefill(startedAt)
+    , mLastRequest(startedAt)
 {
 }
 
@@ -44,24 +44,24 @@
     // Requests of about one window, those longer ago counting less and less.
     mRecentRequests = mRecentRequests * std::exp(-std::max(0.0, seconds) / window) + 1;
     mLastRequest = now;
-    const double most = sLeastSaved + mRecentRequests * mBounds.ratio * sSavedRatio;
-    mEarned = std::min(most, mEarned + mBounds.ratio * sRatioUsed);
+    const double cap = sMinEarnedCap + mRecentRequests * mBounds.ratio * sEarnedCapRatio;
+    mEarned = std::min(cap, mEarned + mBounds.ratio * sRatioFraction);
 }
 
 double SharedRetryBudget::share(std::uint32_t entries) const
 {
-    return mBounds.extra * sExtraUsed / std::max<std::uint32_t>(entries, 1);
+    return mBounds.extra * sExtraFraction / std::max<std::uint32_t>(entries, 1);
 }
 
 void SharedRetryBudget::refill(std::uint32_t entries, Instant now)
 {
-    if (now <= mLast) {
+    if (now <= mLastRefill) {
         return;
     }
-    const double windows = std::chrono::duration<double>(now - mLast) / mBounds.window;
-    const double most = share(entries) * sSavedPart;
-    mTokens = std::min(most, mTokens + most * windows);
-    mLast = now;
+    const double windows = std::chrono::duration<double>(now - mLastRefill) / mBounds.window;
+    const double cap = share(entries) * sBurstFraction;
+    mTokens = std::min(cap, mTokens + cap * windows);
+    mLastRefill = now;
 }
 
 bool SharedRetryBudget::take(std::uint32_t entries, Instant now)
--- a/src/libloomjunction/core/sharedretrybudget.h
+++ b/src/libloomjunction/core/sharedretrybudget.h
@@ -31,14 +31,14 @@
 class SharedRetryBudget
 {
 public:
-    SharedRetryBudget(RetryBounds bounds, Instant born);
+    SharedRetryBudget(RetryBounds bounds, Instant startedAt);
 
     void setBounds(const RetryBounds &bounds) { mBounds = bounds; }
     /** A first request for the service. */
     void noteRequest(Instant now);
     /** Takes one repeat; false when the share is spent. @p entries: those that may be alive. */
     bool take(std::uint32_t entries, Instant now);
-    double left() const { return mTokens; }
+    double remaining() const { return mTokens; }
 
 private:
     double share(std::uint32_t entries) const;
@@ -48,7 +48,7 @@
     double mTokens = 0;
     double mEarned = 0;
     double mRecentRequests = 0;
-    Instant mLast;
+    Instant mLastRefill;
     Instant mLastRequest;
 };
 
--- a/src/libloomjunction/core/tokenbucket.h
+++ b/src/libloomjunction/core/tokenbucket.h
@@ -50,17 +50,17 @@
 private:
     void refill(Instant now)
     {
-        if (now > mLast) {
-            const double seconds = std::chrono::duration<double>(now - mLast).count();
+        if (now > mLastRefill) {
+            const double seconds = std::chrono::duration<double>(now - mLastRefill).count();
             mTokens = std::min(mBurst, mTokens + mRate * seconds);
-            mLast = now;
+            mLastRefill = now;
         }
     }
 
     double mRate;
     double mBurst;
     double mTokens;
-    Instant mLast;
+    Instant mLastRefill;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/upstreamtable.cpp
+++ b/src/libloomjunction/core/upstreamtable.cpp
@@ -21,7 +21,7 @@
 // in rendezvous order is taken (bounded loads).
 constexpr double sLoadBound = 1.25;
 // An upstream elsewhere is worth its latency once ours has this much more load.
-constexpr double sAwayPenalty = 0.15;
+constexpr double sRemotePenalty = 0.15;
 
 double relativeLoad(const Upstream &upstream)
 {
@@ -31,8 +31,8 @@
 
 double cost(const Upstream &upstream, const RouteQuery &query)
 {
-    const bool away = upstream.dataCentre != query.dataCentre;
-    return relativeLoad(upstream) + (away ? sAwayPenalty : 0.0);
+    const bool isRemote = upstream.dataCentre != query.dataCentre;
+    return relativeLoad(upstream) + (isRemote ? sRemotePenalty : 0.0);
 }
 
 } // namespace
@@ -40,18 +40,18 @@
 std::uint32_t Upstream::estimatedInFlight() const
 {
     const std::uint32_t others
-        = reportedInFlight > ownAtReport ? reportedInFlight - ownAtReport : 0;
+        = reportedInFlight > ownInFlightAtReport ? reportedInFlight - ownInFlightAtReport : 0;
     return others + ownInFlight;
 }
 
 bool Upstream::isUsable(Instant now) const
 {
-    const bool heard = now - lastHeard <= UpstreamTable::sSilence;
+    const bool heard = now - lastReportAt <= UpstreamTable::sReportTimeout;
     return isConnected && isUpstreamAlive && !isLeaving && !isListedLeaving && heard;
 }
 
-void UpstreamTable::list(std::string_view box, std::string_view dataCentre,
-                         std::string_view service, bool isLeaving)
+void UpstreamTable::updateListed(std::string_view box, std::string_view dataCentre,
+                                 std::string_view service, bool isLeaving)
 {
     Upstream &upstream = mUpstreams[std::string(box)];
     upstream.box = box;
@@ -75,16 +75,16 @@
         return;
     }
     Upstream &upstream = it->second;
-    const bool sameLife = upstream.incarnation == report.incarnation;
-    upstream.isLeaving = report.isLeaving || (sameLife && upstream.isLeaving);
+    const bool isSameIncarnation = upstream.incarnation == report.incarnation;
+    upstream.isLeaving = report.isLeaving || (isSameIncarnation && upstream.isLeaving);
     upstream.incarnation = report.incarnation;
     upstream.versions = {report.versions.begin(), report.versions.end()};
     upstream.capacity = report.capacity;
     upstream.reportedInFlight = report.inFlight;
-    upstream.ownAtReport = upstream.ownInFlight;
+    upstream.ownInFlightAtReport = upstream.ownInFlight;
     upstream.isUpstreamAlive = report.isUpstreamAlive;
     upstream.isConnected = true;
-    upstream.lastHeard = now;
+    upstream.lastReportAt = now;
 }
 
 void UpstreamTable::disconnected(std::string_view box)
@@ -95,7 +95,7 @@
     }
 }
 
-void UpstreamTable::began(std::string_view box)
+void UpstreamTable::callStarted(std::string_view box)
 {
     const auto it = mUpstreams.find(box);
     if (it != mUpstreams.end()) {
@@ -103,7 +103,7 @@
     }
 }
 
-void UpstreamTable::ended(std::string_view box)
+void UpstreamTable::callEnded(std::string_view box)
 {
     const auto it = mUpstreams.find(box);
     if (it != mUpstreams.end() && it->second.ownInFlight > 0) {
@@ -129,7 +129,7 @@
     case RoutePolicy::Random:
         return from[query.random % from.size()]->box;
     case RoutePolicy::LeastInFlight:
-        return leastOfTwo(from, query)->box;
+        return lessLoadedOfTwo(from, query)->box;
     case RoutePolicy::PrefixAffinity:
         return byAffinity(from, query)->box;
     }
@@ -138,24 +138,24 @@
 
 std::vector<const Upstream *> UpstreamTable::candidates(const RouteQuery &query, Instant now) const
 {
-    std::vector<const Upstream *> fresh;
+    std::vector<const Upstream *> preferred;
     std::vector<const Upstream *> avoided;
     for (const auto &[box, upstream] : mUpstreams) {
-        const bool fits = upstream.service == query.service && upstream.isUsable(now)
+        const bool isEligible = upstream.service == query.service && upstream.isUsable(now)
             && (query.version.empty() || upstream.versions.contains(query.version));
-        if (!fits || std::ranges::find(query.excluded, box) != query.excluded.end()) {
+        if (!isEligible || std::ranges::find(query.excluded, box) != query.excluded.end()) {
             continue;
         }
-        (upstream.avoidedUntil > now ? avoided : fresh).push_back(&upstream);
+        (upstream.avoidedUntil > now ? avoided : preferred).push_back(&upstream);
     }
-    return fresh.empty() ? avoided : fresh;
+    return preferred.empty() ? avoided : preferred;
 }
 
 const Upstream *UpstreamTable::byAffinity(std::span<const Upstream *const> from,
                                           const RouteQuery &query) const
 {
     if (query.prefix.empty()) {
-        return leastOfTwo(from, query);
+        return lessLoadedOfTwo(from, query);
     }
     double total = 0;
     std::vector<std::string> names;
@@ -171,11 +171,11 @@
             return from[index];
         }
     }
-    return leastOfTwo(from, query);
+    return lessLoadedOfTwo(from, query);
 }
 
-const Upstream *UpstreamTable::leastOfTwo(std::span<const Upstream *const> from,
-                                          const RouteQuery &query)
+const Upstream *UpstreamTable::lessLoadedOfTwo(std::span<const Upstream *const> from,
+                                               const RouteQuery &query)
 {
     // Two choices instead of the very least: reports lag, and the least loaded
     // one would be overrun by all entries at once.
@@ -194,7 +194,7 @@
     return it == mUpstreams.end() ? nullptr : &it->second;
 }
 
-std::vector<const Upstream *> UpstreamTable::ofService(std::string_view service) const
+std::vector<const Upstream *> UpstreamTable::forService(std::string_view service) const
 {
     std::vector<const Upstream *> found;
     for (const auto &[box, upstream] : mUpstreams) {
--- a/src/libloomjunction/core/upstreamtable.h
+++ b/src/libloomjunction/core/upstreamtable.h
@@ -31,13 +31,13 @@
     std::set<std::string, std::less<>> versions; ///< loaded whole, as the agent announced
     std::uint32_t capacity = 1;
     std::uint32_t reportedInFlight = 0; ///< of all entries, when the agent last spoke
-    std::uint32_t ownAtReport = 0; ///< our share of reportedInFlight
+    std::uint32_t ownInFlightAtReport = 0; ///< our share of reportedInFlight
     std::uint32_t ownInFlight = 0;
     bool isConnected = false;
     bool isLeaving = false; ///< final for this incarnation
     bool isUpstreamAlive = false; ///< the engine or service behind the agent answers
     bool isListedLeaving = false; ///< the platform's list says so
-    Instant lastHeard;
+    Instant lastReportAt;
     Instant avoidedUntil; ///< after a failure, unless nothing else is left
 
     /** In-flight calls: the lagging report corrected by what we did since. */
@@ -90,14 +90,14 @@
     void setPolicy(RoutePolicy policy) { mPolicy = policy; }
 
     /** The platform's list names @p box; creates it where it is new. */
-    void list(std::string_view box, std::string_view dataCentre, std::string_view service,
-              bool isLeaving);
+    void updateListed(std::string_view box, std::string_view dataCentre, std::string_view service,
+                      bool isLeaving);
     void remove(std::string_view box);
 
     void report(std::string_view box, const UpstreamReport &report, Instant now);
     void disconnected(std::string_view box);
-    void began(std::string_view box);
-    void ended(std::string_view box);
+    void callStarted(std::string_view box);
+    void callEnded(std::string_view box);
     /** Keeps requests away from @p box for a while, e.g. after a cut. */
     void avoid(std::string_view box, Instant until);
 
@@ -105,7 +105,7 @@
     std::optional<std::string> choose(const RouteQuery &query, Instant now) const;
 
     const Upstream *find(std::string_view box) const;
-    std::vector<const Upstream *> ofService(std::string_view service) const;
+    std::vector<const Upstream *> forService(std::string_view service) const;
     const std::map<std::string, Upstream, std::less<>> &all() const { return mUpstreams; }
 
     /** Usable upstreams of @p service that hold @p version (any when empty). */
@@ -114,14 +114,14 @@
     std::uint32_t capacity(std::string_view service, Instant now) const;
 
     /** An agent that is silent for this long gets no new work. */
-    static constexpr Milliseconds sSilence{3'000};
+    static constexpr Milliseconds sReportTimeout{3'000};
 
 private:
     std::vector<const Upstream *> candidates(const RouteQuery &query, Instant now) const;
     const Upstream *byAffinity(std::span<const Upstream *const> from,
                                const RouteQuery &query) const;
-    static const Upstream *leastOfTwo(std::span<const Upstream *const> from,
-                                      const RouteQuery &query);
+    static const Upstream *lessLoadedOfTwo(std::span<const Upstream *const> from,
+                                           const RouteQuery &query);
 
     RoutePolicy mPolicy;
     std::map<std::string, Upstream, std::less<>> mUpstreams;
--- a/src/libloomjunction/gateway/addressfront.cpp
+++ b/src/libloomjunction/gateway/addressfront.cpp
@@ -60,21 +60,22 @@
     co_await exchange.respond(std::move(response));
 }
 
-AddressPlace AddressFront::ownPlace() const
+GatewayAddress AddressFront::ownPlace() const
 {
-    AddressPlace place;
+    GatewayAddress place;
     place.callers = endpointText(std::get<GatewaySettings>(mSettings.role).callers);
     place.dataCentre = mSettings.dataCentre;
     place.region = mSettings.region;
-    place.standing = mFront->isReady() ? GatewayStanding::Heard : GatewayStanding::Out;
+    place.availability
+        = mFront->isReady() ? GatewayAvailability::Healthy : GatewayAvailability::Unavailable;
     return place;
 }
 
 HttpResponse AddressFront::answer(const AddressQuestion &question) const
 {
-    std::vector<AddressPlace> places = mMembers->addressPlaces();
+    std::vector<GatewayAddress> places = mMembers->addressPlaces();
     places.push_back(ownPlace());
-    const AddressChoice choice(mMembers->key(), places, mSettings.losses);
+    const AddressSelector choice(mMembers->key(), places, mSettings.losses);
     const std::vector<std::string> addresses
         = choice.choose({question.dataCentre, question.region});
     if (addresses.empty()) {
--- a/src/libloomjunction/gateway/addressfront.h
+++ b/src/libloomjunction/gateway/addressfront.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "addresschoice.h"
+#include "addressselector.h"
 #include "directsettings.h"
 #include "kernel.h"
 #include "ports.h"
@@ -37,7 +37,7 @@
 
 private:
     awaitable<void> handle(HttpExchange &exchange);
-    AddressPlace ownPlace() const;
+    GatewayAddress ownPlace() const;
     HttpResponse answer(const AddressQuestion &question) const;
 
     CallPort &mCalls;
--- a/src/libloomjunction/gateway/callstate.h
+++ b/src/libloomjunction/gateway/callstate.h
@@ -45,7 +45,7 @@
     HttpExchange &exchange;
     RouteTablePtr table; ///< in force when the request came; holds the route and the service
     const Route *route = nullptr;
-    const ServiceFigures *service = nullptr;
+    const ServiceConfig *service = nullptr;
     std::string serviceName;
     CallerFields caller;
     std::string account;
--- a/src/libloomjunction/gateway/directsettings.cpp
+++ b/src/libloomjunction/gateway/directsettings.cpp
@@ -55,9 +55,9 @@
     return bounds;
 }
 
-LossBounds readLosses(SettingsReader reader)
+FailureTolerance readLosses(SettingsReader reader)
 {
-    LossBounds losses;
+    FailureTolerance losses;
     losses.dataCentres = static_cast<std::uint32_t>(reader.integer("dataCentres", 0, sMostLost, 0));
     losses.regions = static_cast<std::uint32_t>(reader.integer("regions", 0, sMostLost, 0));
     reader.refuseUnknown();
--- a/src/libloomjunction/gateway/directsettings.h
+++ b/src/libloomjunction/gateway/directsettings.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "addresschoice.h"
+#include "addressselector.h"
 #include "asynctypes.h"
 #include "instant.h"
 #include "jsonlog.h"
@@ -67,7 +67,7 @@
     std::optional<Tcp::endpoint> metrics;
     LogLevel logLevel = LogLevel::Info;
     DirectBounds bounds;
-    LossBounds losses;
+    FailureTolerance losses;
     std::variant<GatewaySettings, StagerSettings> role;
 
     bool isGateway() const { return std::holds_alternative<GatewaySettings>(role); }
--- a/src/libloomjunction/gateway/feedservice.h
+++ b/src/libloomjunction/gateway/feedservice.h
@@ -9,11 +9,11 @@
 #pragma once
 
 #include "clock.h"
+#include "feedtable.h"
 #include "instant.h"
 #include "kernel.h"
 #include "peerstream.h"
 #include "ports.h"
-#include "recordbook.h"
 
 #include <array>
 #include <functional>
@@ -69,7 +69,7 @@
 
 /**
  * Follows the feeds of the platform's store and passes them on to processes
- * that cannot reach it. Each feed is a RecordBook, so what was learned in one
+ * that cannot reach it. Each feed is a FeedTable, so what was learned in one
  * way is never undone by the other.
  */
 class FeedService final : public Service
@@ -112,7 +112,7 @@
     bool isStoreReached(Feed feed) const { return state(feed).isStoreReached; }
     /** This process began so lately that it trusts a plan more than what it heard. */
     bool isBeginTime() const { return now() < mBeginUntil; }
-    const RecordBook &book(Feed feed) const { return state(feed).book; }
+    const FeedTable &book(Feed feed) const { return state(feed).book; }
 
 private:
     struct CompressedValue
@@ -131,7 +131,7 @@
 
     struct FeedState
     {
-        RecordBook book;
+        FeedTable book;
         std::vector<Listener> listeners;
         SameMeaning isSame;
         std::map<std::string, Instant> learnedAt;
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -149,12 +149,12 @@
 
 std::optional<GatewayCall::Refusal> GatewayCall::findAccount()
 {
-    const bool needsKey = !mCall.table->config().accounts.empty() && !mCall.route->isOpen;
+    const bool needsKey = !mCall.table->config().accounts.empty() && !mCall.route->isPublic;
     if (!needsKey) {
         return std::nullopt;
     }
     const ClientAccount *account
-        = mCall.caller.key.empty() ? nullptr : mCall.table->accountOf(mCall.caller.key);
+        = mCall.caller.key.empty() ? nullptr : mCall.table->accountForKey(mCall.caller.key);
     if (account != nullptr) {
         mCall.account = account->name;
         return std::nullopt;
--- a/src/libloomjunction/gateway/gatewayfront.cpp
+++ b/src/libloomjunction/gateway/gatewayfront.cpp
@@ -77,8 +77,8 @@
     HttpLimits limits;
     limits.bodyBytes = told.bodyBytes;
     limits.headerBytes = told.headerBytes;
-    limits.header = told.headerTime;
-    limits.idle = told.idleTime;
+    limits.header = told.headerTimeout;
+    limits.idle = told.idleTimeout;
     mServer->setLimits(limits);
     mMembers->noteChange();
 }
--- a/src/libloomjunction/gateway/memberservice.cpp
+++ b/src/libloomjunction/gateway/memberservice.cpp
@@ -228,15 +228,15 @@
         return;
     }
     mPlannedChanges = mMemberChanges;
-    std::vector<MemberPlace> places;
+    std::vector<MemberLocation> places;
     for (const auto &[key, member] : mMembers) {
         places.push_back({key, member.dataCentre, member.isGateway});
     }
     const MemberPlan plan({mKey, mSettings.dataCentre, true}, places);
     mToFollow = plan.gatewaysToFollow();
-    mReadersEverywhere = plan.readerOrder(ReaderScope::Everywhere);
+    mReadersEverywhere = plan.readerOrder(ReaderScope::Global);
     mReadersNear = plan.readerOrder(ReaderScope::DataCentre);
-    std::set<std::string> watched = plan.stagersToWatch();
+    std::set<std::string> watched = plan.agentsToWatch();
     watched.insert(mToFollow.begin(), mToFollow.end());
     std::erase_if(mWatched, [&](const auto &item) { return !watched.contains(item.first); });
     for (const std::string &key : watched) {
@@ -442,9 +442,9 @@
     return isNear ? PeerPlace::OwnDataCentre : PeerPlace::OtherDataCentre;
 }
 
-std::vector<AddressPlace> MemberService::addressPlaces() const
+std::vector<GatewayAddress> MemberService::addressPlaces() const
 {
-    std::vector<AddressPlace> places;
+    std::vector<GatewayAddress> places;
     for (const auto &[key, member] : mMembers) {
         if (member.isGateway) {
             places.push_back({member.callers, member.dataCentre, member.region, standingOf(key)});
@@ -455,13 +455,14 @@
 
 // Only some of all gateways are listened to; of one that is, a state is known
 // once it has spoken or could not be reached.
-GatewayStanding MemberService::standingOf(const std::string &key) const
+GatewayAvailability MemberService::standingOf(const std::string &key) const
 {
     const auto state = mStates.find(key);
     if (state == mStates.end()) {
-        return GatewayStanding::Unheard;
+        return GatewayAvailability::Unmonitored;
     }
-    return isUsable(state->second) ? GatewayStanding::Heard : GatewayStanding::Out;
+    return isUsable(state->second) ? GatewayAvailability::Healthy
+                                   : GatewayAvailability::Unavailable;
 }
 
 // Calls to the store have a price, and each change would be read by every
@@ -516,7 +517,7 @@
     std::uint64_t most = isOwnUsable ? rendezvousWeight(key, mKey) : 0;
     std::optional<Tcp::endpoint> home;
     for (const auto &[member, told] : mMembers) {
-        if (!told.isGateway || standingOf(member) == GatewayStanding::Out) {
+        if (!told.isGateway || standingOf(member) == GatewayAvailability::Unavailable) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(key, member);
--- a/src/libloomjunction/gateway/memberservice.h
+++ b/src/libloomjunction/gateway/memberservice.h
@@ -8,12 +8,12 @@
 
 #pragma once
 
-#include "addresschoice.h"
+#include "addressselector.h"
 #include "clock.h"
 #include "directsettings.h"
 #include "instant.h"
 #include "kernel.h"
-#include "membersilence.h"
+#include "memberfailuredetector.h"
 #include "peerstream.h"
 #include "ports.h"
 
@@ -110,7 +110,7 @@
     /** Peer addresses of other gateways: those known, else the seeds. */
     std::vector<Tcp::endpoint> gatewayAddresses() const;
     /** The other gateways, as callers may or may not use them now. */
-    std::vector<AddressPlace> addressPlaces() const;
+    std::vector<GatewayAddress> addressPlaces() const;
     /** Which gateways read the store for all. */
     FeedReaders feedReaders();
     /** Where the process is that a connection from or to @p remote reaches. */
@@ -138,7 +138,7 @@
     awaitable<void> forgetSilent();
     void noteHeardFrom(const std::string &key);
     bool isOverdue(const std::string &key, const Member &member) const;
-    GatewayStanding standingOf(const std::string &key) const;
+    GatewayAvailability standingOf(const std::string &key) const;
     static bool isUsable(const GatewayState &state);
     bool mayRead(const std::string &key) const;
     std::vector<Tcp::endpoint> earlierReaders() const;
@@ -165,7 +165,7 @@
     std::map<std::string, Instant> mCameAt; ///< when a record was first seen
     std::map<std::string, std::string> mAgents; ///< keys of stagers, by their engine's address
     std::map<std::string, Instant> mWatched; ///< whose loss is noticed here, and since when
-    MemberSilence mSilence;
+    MemberFailureDetector mSilence;
     std::uint64_t mMemberChanges = 0;
     std::uint64_t mPlannedChanges = 0; ///< mMemberChanges when all this was worked out
     std::vector<std::string> mReadersEverywhere; ///< in order
--- a/src/libloomjunction/gateway/permitasker.cpp
+++ b/src/libloomjunction/gateway/permitasker.cpp
@@ -61,7 +61,7 @@
     }
     mToldTo[life] = keeper;
     for (const Instant sent : replica.sentLately) {
-        if (time - sent < sSendSpan) {
+        if (time - sent < sSendWindow) {
             query.add_sent_age_us(static_cast<std::uint64_t>((time - sent).count()));
         }
     }
--- a/src/libloomjunction/gateway/permitservice.cpp
+++ b/src/libloomjunction/gateway/permitservice.cpp
@@ -92,14 +92,14 @@
 {
     const ToldLimit told = limitTold(query.limit(), now);
     const LimitChange change = entry.limit.hear(told.perSecond, told.heardAt);
-    if (change == LimitChange::Begun) {
+    if (change == LimitChange::Started) {
         entry.permits = SendPermits();
     }
     const int sent = std::min(query.sent_age_us_size(), sMostSentBefore);
     for (int index = 0; index < sent; ++index) {
         entry.permits.noteSend(before(now, query.sent_age_us(index)));
     }
-    const bool isRate = change == LimitChange::Begun || change == LimitChange::Changed;
+    const bool isRate = change == LimitChange::Started || change == LimitChange::Changed;
     if (isRate) {
         entry.permits.setRate(*entry.limit.perSecond(), now);
     }
--- a/src/libloomjunction/gateway/permitservice.h
+++ b/src/libloomjunction/gateway/permitservice.h
@@ -9,9 +9,9 @@
 #pragma once
 
 #include "kernel.h"
-#include "namedlimit.h"
 #include "peerstream.h"
 #include "replica.h"
+#include "replicaratelimit.h"
 #include "sendpermits.h"
 
 #include <map>
@@ -66,7 +66,7 @@
     /** What is known of one life of a replica. */
     struct Entry
     {
-        NamedLimit limit;
+        ReplicaRateLimit limit;
         SendPermits permits;
         Instant askedAt;
     };
--- a/src/libloomjunction/gateway/ports.h
+++ b/src/libloomjunction/gateway/ports.h
@@ -8,11 +8,11 @@
 
 #pragma once
 
+#include "feedtable.h"
 #include "http.h"
 #include "httplink.h"
 #include "lifenotices.h"
 #include "manifest.h"
-#include "recordbook.h"
 #include "replicaset.h"
 #include "routetable.h"
 
--- a/src/libloomjunction/gateway/quarantinerecord.cpp
+++ b/src/libloomjunction/gateway/quarantinerecord.cpp
@@ -26,7 +26,7 @@
 
 std::string quarantineRecord(const QuarantineEntry &entry, Instant now, WallMilliseconds wallNow)
 {
-    const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.lastCrash);
+    const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.lastEventAt);
     boost::json::array crashes;
     for (const std::string &life : entry.lives) {
         crashes.emplace_back(life);
@@ -69,7 +69,7 @@
     entry.digest = *parsed;
     entry.account = jsonText(object, "account");
     entry.epoch = static_cast<std::uint32_t>(epoch);
-    entry.lastCrash = now - std::max(age, WallMilliseconds(0));
+    entry.lastEventAt = now - std::max(age, WallMilliseconds(0));
     for (const boost::json::value &life : *crashes) {
         if (!life.is_string() || life.as_string().empty() || life.as_string().size() > sMostLife) {
             return tl::unexpected(std::string("crashes: expected names"));
--- a/src/libloomjunction/gateway/quarantineservice.cpp
+++ b/src/libloomjunction/gateway/quarantineservice.cpp
@@ -274,7 +274,7 @@
         entry.account = told.account();
         entry.epoch = told.epoch();
         entry.lives.insert(told.lives().begin(), told.lives().end());
-        entry.lastCrash = now() - Milliseconds(static_cast<std::int64_t>(told.age_ms()));
+        entry.lastEventAt = now() - Milliseconds(static_cast<std::int64_t>(told.age_ms()));
         noteNews(mQuarantine.merge(entry, now()), *digest, status.box());
     }
 }
@@ -289,7 +289,7 @@
         for (const std::string &life : entry.lives) {
             news->add_lives(life);
         }
-        const auto age = std::chrono::duration_cast<Milliseconds>(now() - entry.lastCrash);
+        const auto age = std::chrono::duration_cast<Milliseconds>(now() - entry.lastEventAt);
         news->set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(age.count(), 0)));
     }
     return since;
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -200,7 +200,7 @@
     if (!table) {
         return;
     }
-    for (const ServiceFigures &service : table->config().services) {
+    for (const ServiceConfig &service : table->config().services) {
         if (!service.engine) {
             continue;
         }
@@ -330,7 +330,7 @@
     if (change != LimitChange::Nothing) {
         noteLimit(std::string(told.replica()), change);
     }
-    if (change == LimitChange::Begun) {
+    if (change == LimitChange::Started) {
         // Told that it must wait, it asks for no permit yet, and its sends would not count.
         mPermits->tell(*mReplicas.find(told.replica()));
     }
@@ -338,9 +338,9 @@
 
 void ReplicaService::noteLimit(const std::string &id, LimitChange change)
 {
-    const std::string_view what = change == LimitChange::Begun ? "begun"
-        : change == LimitChange::Changed                       ? "changed"
-                                                               : "ended";
+    const std::string_view what = change == LimitChange::Started ? "begun"
+        : change == LimitChange::Changed                         ? "changed"
+                                                                 : "ended";
     const Replica *replica = mReplicas.find(id);
     if (change != LimitChange::Changed) {
         mPermits->forgetTold(replica->record.life());
@@ -384,7 +384,7 @@
 Milliseconds ReplicaService::waitedBefore(const std::string &route, Milliseconds timeLeft)
 {
     mPatience.note(route, timeLeft, mRefused.share(now()));
-    return mPatience.waited(route, timeLeft);
+    return mPatience.waitedBefore(route, timeLeft);
 }
 
 void ReplicaService::noteEnd(bool mayReturn)
@@ -420,15 +420,15 @@
 }
 
 awaitable<tl::expected<std::unique_ptr<HttpLink>, LinkError>>
-ReplicaService::link(std::string id, std::string address, std::uint32_t connectionCap)
+ReplicaService::link(std::string id, std::string address, std::uint32_t maxConnections)
 {
     Pool &pool = mPools[id];
     if (auto kept = takeIdle(pool)) {
         co_return std::move(kept);
     }
     const double own
-        = connectionCap * sConnectionsUsed / std::max<std::uint32_t>(mMembers->gatewayCount(), 1);
-    if (connectionCap > 0 && pool.open >= std::max(own, 1.0)) {
+        = maxConnections * sConnectionsUsed / std::max<std::uint32_t>(mMembers->gatewayCount(), 1);
+    if (maxConnections > 0 && pool.open >= std::max(own, 1.0)) {
         co_return tl::unexpected(LinkError::NotConnected);
     }
     const auto endpoint = parseEndpoint(address);
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "callerpatience.h"
+#include "callerwaitestimator.h"
 #include "directsettings.h"
 #include "httplink.h"
 #include "kernel.h"
@@ -82,7 +82,7 @@
 
     /** A link to the replica @p id at @p address, kept or new. */
     awaitable<tl::expected<std::unique_ptr<HttpLink>, LinkError>>
-    link(std::string id, std::string address, std::uint32_t connectionCap);
+    link(std::string id, std::string address, std::uint32_t maxConnections);
     /** Gives a link back; kept where it can be used again. */
     void giveBack(const std::string &id, std::unique_ptr<HttpLink> link);
 
@@ -122,7 +122,7 @@
     ReplicaSet mReplicas;
     std::map<std::string, Pool> mPools; ///< by replica id
     std::map<std::string, SharedRetryBudget> mBudgets;
-    CallerPatience mPatience;
+    CallerWaitEstimator mPatience;
     RefusalShare mRefused; ///< of all requests
     std::unique_ptr<LoadAsker> mAsker;
     std::unique_ptr<PermitAsker> mPermits;
--- a/src/libloomjunction/gateway/replicatry.cpp
+++ b/src/libloomjunction/gateway/replicatry.cpp
@@ -81,7 +81,7 @@
 
 awaitable<std::optional<TryResult>> ReplicaTry::connect()
 {
-    const std::uint32_t cap = mCall.service == nullptr ? 0 : mCall.service->connectionCap;
+    const std::uint32_t cap = mCall.service == nullptr ? 0 : mCall.service->maxConnections;
     auto link = co_await mCall.parts.replicas.link(mChosen.id, mLife.address, cap);
     mWasReached = link.has_value();
     if (link) {
--- a/src/libloomjunction/gateway/stageservice.cpp
+++ b/src/libloomjunction/gateway/stageservice.cpp
@@ -138,7 +138,7 @@
 // The engine answers, and runs the newest weights that are named.
 bool StageService::isCalm() const
 {
-    const EngineFigures *engine = figures();
+    const EngineProfile *engine = figures();
     if (!mReport || mIsLoading || engine == nullptr || engine->models.empty()) {
         return false;
     }
@@ -148,7 +148,7 @@
 
 awaitable<bool> StageService::lookAtEngine()
 {
-    const EngineFigures *engine = figures();
+    const EngineProfile *engine = figures();
     auto report = co_await mEngine.report(engine == nullptr ? 0 : engine->layers);
     const bool wasReached = mReport.has_value();
     if (wasReached != report.has_value()) {
@@ -202,20 +202,20 @@
            });
 }
 
-const EngineFigures *StageService::figures() const
+const EngineProfile *StageService::figures() const
 {
     const RouteTablePtr &table = mConfig->table();
     if (!table) {
         return nullptr;
     }
-    const ServiceFigures *service = table->service(mStager.service);
+    const ServiceConfig *service = table->service(mStager.service);
     return service == nullptr || !service->engine ? nullptr : &*service->engine;
 }
 
 std::optional<Tcp::endpoint> StageService::origin() const
 {
     const RouteTablePtr &table = mConfig->table();
-    const OriginFigures *figures = table ? table->origin() : nullptr;
+    const OriginConfig *figures = table ? table->origin() : nullptr;
     if (figures == nullptr) {
         return std::nullopt;
     }
@@ -308,7 +308,7 @@
     for (const Member &member : mMembers->stagersOf(mStager.service)) {
         boxes.push_back(member.box);
     }
-    const ReloadTurn turn(mSettings.bounds.weightsTime);
+    const ReloadSchedule turn(mSettings.bounds.weightsTime);
     const Instant learnedAt = mConfig->weights().learnedAt(model, version);
     return now() >= turn.at(versionKey(model, version), mSettings.box, boxes, learnedAt, mReadyAt);
 }
@@ -440,7 +440,7 @@
 Microseconds StageService::originSpacing(const VersionInHand &wanted) const
 {
     const RouteTablePtr &table = mConfig->table();
-    const OriginFigures *figures = table ? table->origin() : nullptr;
+    const OriginConfig *figures = table ? table->origin() : nullptr;
     const StoredVersion *stored = mStore->find(wanted.digest);
     if (figures == nullptr || figures->linkMbit <= 0 || stored == nullptr) {
         return Microseconds(0);
--- a/src/libloomjunction/gateway/stageservice.h
+++ b/src/libloomjunction/gateway/stageservice.h
@@ -15,7 +15,7 @@
 #include "manifestexchange.h"
 #include "memberservice.h"
 #include "ports.h"
-#include "reloadturn.h"
+#include "reloadschedule.h"
 #include "tokenbucket.h"
 #include "weightfetch.h"
 
@@ -88,7 +88,7 @@
     awaitable<PeerStreamPtr> openBox(std::string box, std::string path);
     std::optional<Tcp::endpoint> origin() const;
     bool isLinkSlow() const;
-    const EngineFigures *figures() const;
+    const EngineProfile *figures() const;
     std::uint64_t loadedVersion(std::string_view model) const;
     void tellLoad();
 
--- a/src/loomjunctiond/callsender.cpp
+++ b/src/loomjunctiond/callsender.cpp
@@ -51,11 +51,11 @@
         co_return AttemptResult{
             NotRun{RefusalReason::UpstreamUnreachable, sRevokedRetryAfter}, {}, false};
     }
-    mLinks.upstreams().began(box);
+    mLinks.upstreams().callStarted(box);
     stream->send(start);
     stream->finish();
     AttemptResult result = co_await exchange(box, stream, start, deadline, onPiece);
-    mLinks.upstreams().ended(box);
+    mLinks.upstreams().callEnded(box);
     co_return result;
 }
 
@@ -161,7 +161,7 @@
 bool CallSender::isSilent(const std::string &box) const
 {
     const Upstream *upstream = mLinks.upstreams().find(box);
-    return upstream == nullptr || now() - upstream->lastHeard > UpstreamTable::sSilence;
+    return upstream == nullptr || now() - upstream->lastReportAt > UpstreamTable::sReportTimeout;
 }
 
 } // namespace Loom
--- a/src/loomjunctiond/linkservice.cpp
+++ b/src/loomjunctiond/linkservice.cpp
@@ -94,7 +94,7 @@
         mServiceEntries[box.service].insert(linked.begin(), linked.end());
         if (std::ranges::find(linked, mPlatform->box()) != linked.end()) {
             wanted.push_back(box.box);
-            mUpstreams.list(box.box, box.dataCentre, box.service, box.isLeaving);
+            mUpstreams.updateListed(box.box, box.dataCentre, box.service, box.isLeaving);
             ensureLink(box);
         }
     }
--- a/tests/crashes/crashlab.h
+++ b/tests/crashes/crashlab.h
@@ -51,7 +51,7 @@
         int seconds = 60;
         std::uint64_t seed = 1;
         CrashMemory memory = CrashMemory::ToldCrashes;
-        QuarantineBounds bounds;
+        QuarantineLimits bounds;
     };
 
     struct Result
--- a/tests/crashes/test_ways.cpp
+++ b/tests/crashes/test_ways.cpp
@@ -111,14 +111,14 @@
         shape.bounds.crashes = 2;
         show("after two, " + load.name, played(shape));
         shape.bounds.crashes = 3;
-        shape.bounds.heldBack = 3;
+        shape.bounds.noRepeatAfter = 3;
         show("not held back, " + load.name, played(shape));
-        shape.bounds.heldBack = 1;
+        shape.bounds.noRepeatAfter = 1;
         show("held back after one, " + load.name, played(shape));
-        shape.bounds.heldBack = 2;
-        shape.bounds.terms.fill(Milliseconds(3'600'000));
+        shape.bounds.noRepeatAfter = 2;
+        shape.bounds.refusalPeriods.fill(Milliseconds(3'600'000));
         show("first trial after an hour, " + load.name, played(shape));
-        shape.bounds.terms.fill(Milliseconds(10'000));
+        shape.bounds.refusalPeriods.fill(Milliseconds(10'000));
         show("trials every 10 s, " + load.name, played(shape));
     }
 }
--- a/tests/direct/overloadlab.cpp
+++ b/tests/direct/overloadlab.cpp
@@ -89,8 +89,9 @@
             auto request = std::make_shared<Request>();
             request->gateway = mRandom() % mGateways.size();
             request->firstTryAt = time;
-            request->prompt = mShape.figures.usualPrompt * std::min(3.0, 0.3 + 0.7 * tail(mRandom));
-            const double events = mShape.figures.usualAnswer / mShape.figures.stepsPerPass;
+            request->prompt
+                = mShape.figures.meanPromptTokens * std::min(3.0, 0.3 + 0.7 * tail(mRandom));
+            const double events = mShape.figures.meanAnswerTokens / mShape.figures.stepsPerPass;
             request->eventsLeft = 1 + static_cast<int>((events - 1) * std::min(3.0, tail(mRandom)));
             ++secondOf(*request).asked;
             call(std::move(request), time);
--- a/tests/direct/overloadlab.h
+++ b/tests/direct/overloadlab.h
@@ -36,7 +36,7 @@
     {
         std::size_t engines = 12;
         std::size_t gateways = 9;
-        EngineFigures figures;
+        EngineProfile figures;
         Milliseconds goal{400};
         std::uint64_t seed = 1;
         std::size_t dataCentres = 1;
--- a/tests/direct/test_comeback.cpp
+++ b/tests/direct/test_comeback.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-EngineFigures engine()
+EngineProfile engine()
 {
-    EngineFigures figures;
+    EngineProfile figures;
     figures.slots = 12;
     figures.stepMs = 9.27;
-    figures.readTokensPerMs = 20.7;
+    figures.prefillTokensPerMs = 20.7;
     figures.stepsPerPass = 5;
-    figures.usualPrompt = 960;
-    figures.usualAnswer = 97;
+    figures.meanPromptTokens = 960;
+    figures.meanAnswerTokens = 97;
     return figures;
 }
 
-const EngineFigures sEngine = engine();
+const EngineProfile sEngine = engine();
 
 ReplicaQuery query(std::uint64_t random)
 {
--- a/tests/direct/test_compression.cpp
+++ b/tests/direct/test_compression.cpp
@@ -12,7 +12,7 @@
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(what_is_compressed_comes_back)
+BOOST_AUTO_TEST_CASE(compressed_text_round_trips)
 {
     for (const std::string &text : {std::string(), std::string("a"), std::string(100'000, 'x')}) {
         const auto back = decompressed(compressed(text), 1'000'000);
@@ -22,7 +22,7 @@
     BOOST_TEST(compressed(std::string(100'000, 'x')).size() < 1'000U);
 }
 
-BOOST_AUTO_TEST_CASE(damaged_foreign_and_too_long_input_is_refused)
+BOOST_AUTO_TEST_CASE(damaged_foreign_or_oversized_input_is_rejected)
 {
     const std::string good = compressed(std::string(100'000, 'x'));
     BOOST_TEST(!decompressed("no frame at all", 1'000'000).has_value());
--- a/tests/direct/test_enginemodel.cpp
+++ b/tests/direct/test_enginemodel.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-EngineFigures figures()
+EngineProfile figures()
 {
-    EngineFigures figures;
+    EngineProfile figures;
     figures.slots = 16;
     figures.stepMs = 8;
-    figures.readTokensPerMs = 32;
+    figures.prefillTokensPerMs = 32;
     figures.stepsPerPass = 6;
-    figures.usualPrompt = 960;
-    figures.usualAnswer = 96;
+    figures.meanPromptTokens = 960;
+    figures.meanAnswerTokens = 96;
     return figures;
 }
 
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_CASE(an_idle_engine_reads_the_prompt_and_plays_a_pass)
 {
-    const EngineFigures told = figures();
+    const EngineProfile told = figures();
     const EngineModel model(told);
     BOOST_TEST(model.pass(0) == 48);
     BOOST_TEST(model.read(640) == 20);
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_CASE(prompts_that_wait_are_read_first)
 {
-    const EngineFigures told = figures();
+    const EngineProfile told = figures();
     const EngineModel model(told);
     const double alone = model.firstEvent({4, 0, 1}, 960);
     BOOST_TEST(model.firstEvent({4, 5, 1}, 960) == alone + 5 * 30);
@@ -49,7 +49,7 @@
 
 BOOST_AUTO_TEST_CASE(beyond_the_slots_each_turn_counts)
 {
-    const EngineFigures told = figures();
+    const EngineProfile told = figures();
     const EngineModel model(told);
     BOOST_TEST(model.turn() == 30 + 96 * 8.0 / 16);
     const double full = model.firstEvent({15, 0, 1}, 960);
@@ -61,7 +61,7 @@
 
 BOOST_AUTO_TEST_CASE(passes_of_a_busy_engine_read_the_prompts_of_those_who_come)
 {
-    const EngineFigures told = figures();
+    const EngineProfile told = figures();
     const EngineModel model(told);
     // A request writes 16 events of 6 tokens: of 16 writers one is new in each pass.
     BOOST_TEST(model.steadyPass(16) == 48 + 30);
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_CASE(room_is_what_still_meets_the_limit)
 {
-    const EngineFigures told = figures();
+    const EngineProfile told = figures();
     const EngineModel model(told);
     for (const double running : {0.0, 14.0, 16.0}) {
         const EngineWork work{running, 0, 1};
--- a/tests/direct/test_eventsplitter.cpp
+++ b/tests/direct/test_eventsplitter.cpp
@@ -12,7 +12,7 @@
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(only_whole_events_come_out)
+BOOST_AUTO_TEST_CASE(only_complete_events_are_returned)
 {
     EventSplitter splitter;
     BOOST_TEST(splitter.feed("id: 1\ndata: a").empty());
@@ -24,7 +24,7 @@
     BOOST_TEST(splitter.pending() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(an_id_is_found_wherever_it_stands)
+BOOST_AUTO_TEST_CASE(event_id_is_found_on_any_line)
 {
     EventSplitter splitter;
     const auto events = splitter.feed("versions: 3\ndata: id: 9\nid:12\n\ndata: x\n\n");
@@ -33,7 +33,7 @@
     BOOST_TEST(!events[1].id.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(carriage_returns_end_events_too)
+BOOST_AUTO_TEST_CASE(crlf_line_ends_terminate_events)
 {
     EventSplitter splitter;
     const auto events = splitter.feed("id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n");
--- a/tests/direct/test_growingtimeout.cpp
+++ b/tests/direct/test_exponentialtimeout.cpp
@@ -1,5 +1,5 @@
 /*
- * test_growingtimeout.cpp
+ * test_exponentialtimeout.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,19 +8,19 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "growingtimeout.h"
+#include "exponentialtimeout.h"
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(a_timeout_doubles_up_to_its_bound_and_falls_back_after_success)
+BOOST_AUTO_TEST_CASE(timeout_doubles_up_to_its_maximum_and_resets_after_success)
 {
-    GrowingTimeout timeout(Milliseconds(1'500), Milliseconds(4'000));
+    ExponentialTimeout timeout(Milliseconds(1'500), Milliseconds(4'000));
     BOOST_TEST(timeout.current().count() == 1'500);
-    timeout.noteTimedOut();
+    timeout.noteTimeout();
     BOOST_TEST(timeout.current().count() == 3'000);
-    timeout.noteTimedOut();
-    timeout.noteTimedOut();
+    timeout.noteTimeout();
+    timeout.noteTimeout();
     BOOST_TEST(timeout.current().count() == 4'000);
-    timeout.noteDone();
+    timeout.noteSuccess();
     BOOST_TEST(timeout.current().count() == 1'500);
 }
--- a/tests/direct/test_notices.cpp
+++ b/tests/direct/test_notices.cpp
@@ -188,11 +188,11 @@
     shape.figures.slots = 16;
     shape.figures.stepMs = 7;
     shape.figures.perSequenceMs = 0.03;
-    shape.figures.contextMsPerK = 0.01;
-    shape.figures.readTokensPerMs = 30;
+    shape.figures.contextMsPer1kTokens = 0.01;
+    shape.figures.prefillTokensPerMs = 30;
     shape.figures.stepsPerPass = 6;
-    shape.figures.usualPrompt = 900;
-    shape.figures.usualAnswer = 120;
+    shape.figures.meanPromptTokens = 900;
+    shape.figures.meanAnswerTokens = 120;
     return shape;
 }
 
--- a/tests/direct/test_overload.cpp
+++ b/tests/direct/test_overload.cpp
@@ -21,11 +21,11 @@
     shape.figures.slots = 16;
     shape.figures.stepMs = 7;
     shape.figures.perSequenceMs = 0.03;
-    shape.figures.contextMsPerK = 0.01;
-    shape.figures.readTokensPerMs = 30;
+    shape.figures.contextMsPer1kTokens = 0.01;
+    shape.figures.prefillTokensPerMs = 30;
     shape.figures.stepsPerPass = 6;
-    shape.figures.usualPrompt = 900;
-    shape.figures.usualAnswer = 120;
+    shape.figures.meanPromptTokens = 900;
+    shape.figures.meanAnswerTokens = 120;
     return shape;
 }
 
@@ -158,11 +158,11 @@
     asking.figures = {.slots = 12,
                       .stepMs = 9.27,
                       .perSequenceMs = 0.03,
-                      .contextMsPerK = 0.01,
-                      .readTokensPerMs = 20.7,
+                      .contextMsPer1kTokens = 0.01,
+                      .prefillTokensPerMs = 20.7,
                       .stepsPerPass = 5,
-                      .usualPrompt = 960,
-                      .usualAnswer = 97};
+                      .meanPromptTokens = 960,
+                      .meanAnswerTokens = 97};
     return asking;
 }
 
--- a/tests/direct/test_quarantine.cpp
+++ b/tests/direct/test_quarantine.cpp
@@ -29,27 +29,27 @@
     return RequestDigest::of("account", "/path", std::to_string(number));
 }
 
-void crashThree(Quarantine &quarantine, const RequestDigest &digest, Instant now)
+void noteThreeCrashes(Quarantine &quarantine, const RequestDigest &digest, Instant now)
 {
-    for (const std::string life : {"a@1", "b@1", "c@1"}) {
-        quarantine.noteCrash(digest, "account", life, now);
+    for (const std::string incarnation : {"a@1", "b@1", "c@1"}) {
+        quarantine.noteCrash(digest, "account", incarnation, now);
     }
 }
 
 /** Tells @p to all that changed at @p from; true where that was news. */
-bool tellAll(const Quarantine &from, Quarantine &to, Instant now)
+bool mergeAll(const Quarantine &from, Quarantine &to, Instant now)
 {
-    bool isNews = false;
+    bool hasChanges = false;
     std::uint64_t revision = 0;
     for (const QuarantineEntry &entry : from.changedSince(revision, 1'000)) {
-        isNews = to.merge(entry, now) != QuarantineNews::Nothing || isNews;
+        hasChanges = to.merge(entry, now) != QuarantineNews::Nothing || hasChanges;
     }
-    return isNews;
+    return hasChanges;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(one_byte_the_account_or_the_path_make_another_request)
+BOOST_AUTO_TEST_CASE(digest_depends_on_account_path_and_body)
 {
     BOOST_TEST((RequestDigest::of("account", "/path", "body") == sRequest));
     BOOST_TEST((RequestDigest::of("account", "/path", "bodY") != sRequest));
@@ -61,7 +61,7 @@
     BOOST_TEST(!RequestDigest::parse(std::string(32, 'X')).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_third_replica_that_ends_under_a_request_is_its_last)
+BOOST_AUTO_TEST_CASE(request_is_refused_after_crashing_three_replicas)
 {
     Quarantine quarantine;
     BOOST_TEST((quarantine.noteCrash(sRequest, "a", "r1@1", at(0)) == QuarantineNews::Known));
@@ -76,37 +76,37 @@
     BOOST_TEST(!quarantine.refusedFor(numbered(1), true, at(4)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_trial_is_given_at_home_one_at_a_time_and_ever_more_rarely)
+BOOST_AUTO_TEST_CASE(home_gateway_gives_one_trial_at_a_time_at_growing_intervals)
 {
     Quarantine quarantine;
-    crashThree(quarantine, sRequest, at(0));
-    const Instant over = at(60'000);
-    BOOST_TEST(quarantine.refusedFor(sRequest, false, over).has_value());
-    BOOST_TEST(!quarantine.refusedFor(sRequest, true, over).has_value());
-    quarantine.noteSent(sRequest, over);
-    BOOST_TEST(quarantine.refusedFor(sRequest, true, over).has_value());
-    BOOST_TEST((quarantine.noteCrash(sRequest, "a", "d@1", over) == QuarantineNews::Refused));
-    BOOST_TEST((quarantine.refusedFor(sRequest, true, over) == Milliseconds(600'000)));
+    noteThreeCrashes(quarantine, sRequest, at(0));
+    const Instant expiry = at(60'000);
+    BOOST_TEST(quarantine.refusedFor(sRequest, false, expiry).has_value());
+    BOOST_TEST(!quarantine.refusedFor(sRequest, true, expiry).has_value());
+    quarantine.noteSent(sRequest, expiry);
+    BOOST_TEST(quarantine.refusedFor(sRequest, true, expiry).has_value());
+    BOOST_TEST((quarantine.noteCrash(sRequest, "a", "d@1", expiry) == QuarantineNews::Refused));
+    BOOST_TEST((quarantine.refusedFor(sRequest, true, expiry) == Milliseconds(600'000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_good_end_clears_whatever_others_still_tell)
+BOOST_AUTO_TEST_CASE(successful_run_clears_crashes_that_others_still_report)
 {
     Quarantine here;
     Quarantine there;
-    crashThree(here, sRequest, at(0));
-    tellAll(here, there, at(0));
+    noteThreeCrashes(here, sRequest, at(0));
+    mergeAll(here, there, at(0));
     BOOST_TEST(there.refusedFor(sRequest, true, at(1)).has_value());
     BOOST_TEST(here.noteGoodEnd(sRequest, at(2)));
     BOOST_TEST(!here.refusedFor(sRequest, true, at(2)).has_value());
-    tellAll(there, here, at(3)); // what was told before
+    mergeAll(there, here, at(3)); // what was told before
     BOOST_TEST(!here.refusedFor(sRequest, true, at(3)).has_value());
-    tellAll(here, there, at(4));
+    mergeAll(here, there, at(4));
     BOOST_TEST(!there.refusedFor(sRequest, true, at(4)).has_value());
 }
 
 // Gateways that hear of crashes and good ends in any order, twice, and through each
 // other end up with the same, and then have nothing left to tell.
-BOOST_AUTO_TEST_CASE(all_gateways_end_up_with_the_same_whatever_the_order_of_news)
+BOOST_AUTO_TEST_CASE(all_gateways_converge_in_any_order_of_reports)
 {
     for (std::uint32_t seed = 1; seed <= 300; ++seed) {
         std::mt19937 random(seed);
@@ -120,19 +120,19 @@
             } else if (what == 5) {
                 any().noteGoodEnd(digest, at(step));
             } else {
-                tellAll(any(), any(), at(step));
+                mergeAll(any(), any(), at(step));
             }
         }
-        bool isNews = true;
-        for (int round = 0; isNews && round < 10; ++round) {
-            isNews = false;
+        bool hasChanges = true;
+        for (int round = 0; hasChanges && round < 10; ++round) {
+            hasChanges = false;
             for (const Quarantine &from : gateways) {
                 for (Quarantine &to : gateways) {
-                    isNews = tellAll(from, to, at(100)) || isNews;
+                    hasChanges = mergeAll(from, to, at(100)) || hasChanges;
                 }
             }
         }
-        BOOST_TEST(!isNews);
+        BOOST_TEST(!hasChanges);
         for (int number = 0; number < 3; ++number) {
             const QuarantineEntry *first = gateways.front().find(numbered(number));
             for (const Quarantine &gateway : gateways) {
@@ -146,26 +146,26 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_account_that_floods_pushes_out_its_own)
+BOOST_AUTO_TEST_CASE(flooding_account_evicts_its_own_entries)
 {
-    QuarantineBounds bounds;
-    bounds.most = 100;
+    QuarantineLimits bounds;
+    bounds.maxEntries = 100;
     Quarantine quarantine(bounds);
-    crashThree(quarantine, sRequest, at(0));
+    noteThreeCrashes(quarantine, sRequest, at(0));
     // The oldest that says least is another's.
     const RequestDigest suspected = numbered(-2);
     quarantine.noteCrash(suspected, "account", "x@1", at(0));
     for (int number = 0; number < 1'000; ++number) {
         quarantine.noteCrash(numbered(number), "flooder", "x@1", at(number));
     }
-    BOOST_TEST(quarantine.size() == bounds.most);
+    BOOST_TEST(quarantine.size() == bounds.maxEntries);
     BOOST_TEST(quarantine.refusedFor(sRequest, true, at(1'000)).has_value());
     BOOST_TEST((quarantine.find(suspected) != nullptr));
     quarantine.noteCrash(numbered(-1), "other", "x@1", at(1'000));
     BOOST_TEST((quarantine.find(numbered(-1)) != nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(crashes_that_are_too_few_are_forgotten_in_time)
+BOOST_AUTO_TEST_CASE(too_few_crashes_expire)
 {
     Quarantine quarantine;
     quarantine.noteCrash(sRequest, "a", "r1@1", at(0));
@@ -177,36 +177,36 @@
     BOOST_TEST(revision == quarantine.revision());
 }
 
-BOOST_AUTO_TEST_CASE(news_comes_in_parts_and_none_is_left_out)
+BOOST_AUTO_TEST_CASE(changes_are_returned_in_batches_without_gaps)
 {
     Quarantine quarantine;
     for (int number = 0; number < 25; ++number) {
         quarantine.noteCrash(numbered(number), "a", "r@1", at(number));
     }
     std::uint64_t revision = 0;
-    std::size_t told = 0;
+    std::size_t changeCount = 0;
     while (revision != quarantine.revision()) {
-        const auto part = quarantine.changedSince(revision, 10);
-        BOOST_TEST_REQUIRE(!part.empty());
-        told += part.size();
+        const auto batch = quarantine.changedSince(revision, 10);
+        BOOST_TEST_REQUIRE(!batch.empty());
+        changeCount += batch.size();
     }
-    BOOST_TEST(told == 25U);
+    BOOST_TEST(changeCount == 25U);
 }
 
-BOOST_AUTO_TEST_CASE(a_record_of_the_store_says_the_same_again)
+BOOST_AUTO_TEST_CASE(stored_record_round_trips)
 {
     Quarantine quarantine;
-    crashThree(quarantine, sRequest, at(0));
+    noteThreeCrashes(quarantine, sRequest, at(0));
     const WallMilliseconds wall(1'000'000);
     const std::string value = quarantineRecord(*quarantine.find(sRequest), at(10'000), wall);
     const auto read
         = readQuarantineRecord(sRequest.text(), value, at(30'000), wall + Milliseconds(20'000));
     BOOST_TEST_REQUIRE(read.has_value());
     BOOST_TEST((read->lives == quarantine.find(sRequest)->lives));
-    BOOST_TEST((read->lastCrash == at(0)));
+    BOOST_TEST((read->lastEventAt == at(0)));
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_cannot_be_is_refused_by_its_field)
+BOOST_AUTO_TEST_CASE(invalid_record_is_rejected_with_its_field)
 {
     const std::string key = sRequest.text();
     const WallMilliseconds wall(1'000'000);
--- a/tests/direct/test_replicaset.cpp
+++ b/tests/direct/test_replicaset.cpp
@@ -16,21 +16,21 @@
 
 namespace {
 
-EngineFigures engine()
+EngineProfile engine()
 {
-    EngineFigures figures;
+    EngineProfile figures;
     figures.slots = 16;
     figures.stepMs = 7.4;
     figures.perSequenceMs = 0.0387;
-    figures.contextMsPerK = 0.0203;
-    figures.readTokensPerMs = 31.9;
+    figures.contextMsPer1kTokens = 0.0203;
+    figures.prefillTokensPerMs = 31.9;
     figures.stepsPerPass = 6;
-    figures.usualPrompt = 973;
-    figures.usualAnswer = 106;
+    figures.meanPromptTokens = 973;
+    figures.meanAnswerTokens = 106;
     return figures;
 }
 
-const EngineFigures sEngine = engine();
+const EngineProfile sEngine = engine();
 constexpr Milliseconds sDrainTime{2'000};
 
 ReplicaRecord record(std::string id, std::string dataCentre, std::uint64_t version = 1)
--- a/tests/direct/test_routetable.cpp
+++ b/tests/direct/test_routetable.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_wins)
+BOOST_AUTO_TEST_CASE(longest_matching_prefix_of_the_host_wins)
 {
     const RouteTable routes = table();
     BOOST_TEST(routes.match("a.example", "/x/y/z")->name == "deep");
@@ -47,22 +47,22 @@
     BOOST_TEST(routes.match("a.example", "*") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(keys_belong_to_their_account)
+BOOST_AUTO_TEST_CASE(key_maps_to_its_account)
 {
     const RouteTable routes = table();
-    BOOST_TEST(routes.accountOf("k2")->name == "exams");
-    BOOST_TEST(routes.accountOf("k3") == nullptr);
+    BOOST_TEST(routes.accountForKey("k2")->name == "exams");
+    BOOST_TEST(routes.accountForKey("k3") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(a_split_follows_its_weights)
+BOOST_AUTO_TEST_CASE(targets_are_picked_by_weight)
 {
     Route split;
     split.targets = {{"old", 90}, {"new", 10}};
-    int fresh = 0;
+    int newCount = 0;
     for (std::uint64_t random = 0; random < 1000; ++random) {
-        fresh += pickTarget(split, random)->service == "new" ? 1 : 0;
+        newCount += pickTarget(split, random)->service == "new" ? 1 : 0;
     }
-    BOOST_TEST(fresh == 100);
+    BOOST_TEST(newCount == 100);
     split.targets = {{"only", 0}};
     BOOST_TEST(pickTarget(split, 5)->service == "only");
     split.targets.clear();
--- a/tests/direct/test_sendpermits.cpp
+++ b/tests/direct/test_sendpermits.cpp
@@ -22,11 +22,11 @@
     return Instant(Milliseconds(10'000 + ms));
 }
 
-// Asks every @p pauseMs from @p fromMs to @p toMs; gives the times of what was granted.
-std::vector<int> asked(SendPermits &permits, int fromMs, int toMs, int pauseMs)
+// Asks every @p intervalMs from @p fromMs to @p toMs; gives the times of what was granted.
+std::vector<int> grantedTimes(SendPermits &permits, int fromMs, int toMs, int intervalMs)
 {
     std::vector<int> granted;
-    for (int ms = fromMs; ms < toMs; ms += pauseMs) {
+    for (int ms = fromMs; ms < toMs; ms += intervalMs) {
         if (permits.take(at(ms))) {
             granted.push_back(ms);
         }
@@ -36,24 +36,24 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(no_span_gets_more_than_the_limit_and_what_was_kept)
+BOOST_AUTO_TEST_CASE(no_window_exceeds_the_limit_plus_the_burst)
 {
     for (const double rate : {0.3, 2.3, 10.0, 50.0}) {
         SendPermits permits;
         permits.setRate(rate, at(0));
         // Nobody asks for a while, then everybody does.
-        const std::vector<int> granted = asked(permits, 8'000, 28'000, 3);
-        const double span = std::chrono::duration<double>(sSendSpan).count();
+        const std::vector<int> granted = grantedTimes(permits, 8'000, 28'000, 3);
+        const double window = std::chrono::duration<double>(sSendWindow).count();
         for (const int end : granted) {
             const auto count = std::ranges::count_if(
-                granted, [&](int ms) { return ms > end - sSendSpan.count() && ms <= end; });
-            BOOST_TEST(static_cast<double>(count) <= rate * span + rate * 0.5 + 1 + 1e-6);
+                granted, [&](int ms) { return ms > end - sSendWindow.count() && ms <= end; });
+            BOOST_TEST(static_cast<double>(count) <= rate * window + rate * 0.5 + 1 + 1e-6);
         }
         BOOST_TEST(static_cast<double>(granted.size()) >= rate * 20 * 0.95 - 1);
     }
 }
 
-BOOST_AUTO_TEST_CASE(who_begins_has_saved_nothing)
+BOOST_AUTO_TEST_CASE(new_permit_owner_starts_without_tokens)
 {
     SendPermits permits;
     permits.setRate(2, at(0));
@@ -62,7 +62,7 @@
     BOOST_TEST(permits.take(at(500)));
 }
 
-BOOST_AUTO_TEST_CASE(what_came_before_the_naming_counts)
+BOOST_AUTO_TEST_CASE(sends_before_the_limit_was_set_count)
 {
     SendPermits permits;
     for (int ms = -4'000; ms < 0; ms += 100) {
@@ -70,12 +70,12 @@
     }
     permits.setRate(2, at(0));
     // Eleven in a span are one second's worth beyond the limit.
-    const std::vector<int> granted = asked(permits, 0, 6'000, 10);
+    const std::vector<int> granted = grantedTimes(permits, 0, 6'000, 10);
     BOOST_TEST(granted.front() >= 2'900);
     BOOST_TEST(granted.size() >= 6U);
 }
 
-BOOST_AUTO_TEST_CASE(the_time_told_to_whoever_is_turned_away_is_when_the_next_one_is_there)
+BOOST_AUTO_TEST_CASE(wait_is_the_time_until_the_next_permit)
 {
     SendPermits permits;
     permits.setRate(4, at(0));
@@ -84,22 +84,22 @@
     BOOST_TEST(permits.wait(at(300)).count() == 200'000);
 }
 
-BOOST_AUTO_TEST_CASE(a_limit_that_falls_and_rises_takes_effect_at_once)
+BOOST_AUTO_TEST_CASE(rate_changes_take_effect_immediately)
 {
     SendPermits permits;
     permits.setRate(50, at(0));
-    asked(permits, 0, 4'000, 2);
+    grantedTimes(permits, 0, 4'000, 2);
     permits.setRate(2, at(4'000));
-    BOOST_TEST(asked(permits, 4'000, 6'000, 2).size() == 0U);
+    BOOST_TEST(grantedTimes(permits, 4'000, 6'000, 2).size() == 0U);
     permits.setRate(50, at(6'000));
-    BOOST_TEST(asked(permits, 6'000, 7'000, 2).size() >= 45U);
+    BOOST_TEST(grantedTimes(permits, 6'000, 7'000, 2).size() >= 45U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_takes_nothing_is_tried_now_and_then)
+BOOST_AUTO_TEST_CASE(replica_with_zero_rate_is_still_probed)
 {
     SendPermits permits;
     permits.setRate(0, at(0));
-    const std::size_t granted = asked(permits, 0, 20'000, 10).size();
+    const std::size_t granted = grantedTimes(permits, 0, 20'000, 10).size();
     BOOST_TEST(granted >= 1U);
     BOOST_TEST(granted <= 5U);
 }
--- a/tests/direct/test_sharedretrybudget.cpp
+++ b/tests/direct/test_sharedretrybudget.cpp
@@ -20,7 +20,8 @@
 const RetryBounds sBounds{0.2, 100, Milliseconds(10'000)};
 
 // Takes what it can every 10 ms for a window, and gives the count.
-int takenIn(std::vector<SharedRetryBudget> &gateways, int fromMs, int toMs, int requestsPerStep)
+int retriesTaken(std::vector<SharedRetryBudget> &gateways, int fromMs, int toMs,
+                 int requestsPerStep)
 {
     int taken = 0;
     for (int time = fromMs; time < toMs; time += 10) {
@@ -38,7 +39,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(all_gateways_together_stay_within_the_bound)
+BOOST_AUTO_TEST_CASE(combined_retries_of_all_gateways_stay_within_the_bound)
 {
     for (const int count : {1, 6, 42}) {
         std::vector<SharedRetryBudget> gateways(count, SharedRetryBudget(sBounds, at(0)));
@@ -50,13 +51,13 @@
             }
         }
         const int requests = 2 * count * 1000;
-        const int taken = takenIn(gateways, 60'000, 70'000, 2);
+        const int taken = retriesTaken(gateways, 60'000, 70'000, 2);
         BOOST_TEST(taken <= sBounds.ratio * requests + sBounds.extra);
         BOOST_TEST(taken > sBounds.ratio * requests / 2);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_new_life_begins_with_nothing)
+BOOST_AUTO_TEST_CASE(new_process_starts_without_retries)
 {
     SharedRetryBudget fresh(sBounds, at(0));
     BOOST_TEST(!fresh.take(6, at(0)));
@@ -67,10 +68,10 @@
 {
     // Six gateways spend all they saved, die, and spend all that their new lives get.
     std::vector<SharedRetryBudget> first(6, SharedRetryBudget(sBounds, at(0)));
-    int taken = takenIn(first, 60'000, 62'000, 0);
+    int taken = retriesTaken(first, 60'000, 62'000, 0);
     std::vector<SharedRetryBudget> second(6, SharedRetryBudget(sBounds, at(62'000)));
-    taken += takenIn(second, 62'000, 66'000, 0);
+    taken += retriesTaken(second, 62'000, 66'000, 0);
     std::vector<SharedRetryBudget> third(6, SharedRetryBudget(sBounds, at(66'000)));
-    taken += takenIn(third, 66'000, 70'000, 0);
+    taken += retriesTaken(third, 66'000, 70'000, 0);
     BOOST_TEST(taken <= sBounds.extra);
 }
--- a/tests/direct/test_weightsgoal.cpp
+++ b/tests/direct/test_weightsgoal.cpp
@@ -12,7 +12,7 @@
 #include <set>
 
 #include "fakelog.h"
-#include "reloadturn.h"
+#include "reloadschedule.h"
 #include "weightsgoal.h"
 
 using namespace Loom;
@@ -75,7 +75,7 @@
     for (int box = 0; box < 20; ++box) {
         boxes.push_back("box-" + std::to_string(box));
     }
-    const ReloadTurn turn(Milliseconds(8'000));
+    const ReloadSchedule turn(Milliseconds(8'000));
     std::set<Instant> moments;
     for (const std::string &box : boxes) {
         const Instant moment = turn.at("m@2", box, boxes, at(1'000), at(2'000));
@@ -95,7 +95,7 @@
     for (int box = 0; box < 20; ++box) {
         boxes.push_back("box-" + std::to_string(box));
     }
-    const ReloadTurn turn(Milliseconds(8'000));
+    const ReloadSchedule turn(Milliseconds(8'000));
     std::map<std::int64_t, int> inEachTenth;
     for (const std::string &box : boxes) {
         const Instant moment = turn.at("m@2", box, boxes, at(0), at(5'000));
--- a/tests/gateway/directlab.h
+++ b/tests/gateway/directlab.h
@@ -98,7 +98,7 @@
             co_await sleepFor(fullReadTime);
         }
         const auto &log = mLogs[static_cast<std::size_t>(feed)];
-        RecordBook book;
+        FeedTable book;
         for (const FeedRecord &record : log) {
             book.apply(record);
         }
--- a/tests/gateway/fleetgateway.cpp
+++ b/tests/gateway/fleetgateway.cpp
@@ -62,8 +62,9 @@
 {
     const auto &members = mKernel.find<MemberService>(MemberService::sName);
     const auto places = members.addressPlaces();
-    const auto heard = std::ranges::count_if(
-        places, [](const AddressPlace &place) { return place.standing == GatewayStanding::Heard; });
+    const auto heard = std::ranges::count_if(places, [](const GatewayAddress &place) {
+        return place.availability == GatewayAvailability::Healthy;
+    });
     return mKernel.find<GatewayFront>(GatewayFront::sName).isReady()
         && static_cast<std::size_t>(heard) >= others
         && mKernel.find<ReplicaService>(ReplicaService::sName).replicas().all().size() >= replicas;
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -108,7 +108,7 @@
     /** Who reads for its data centre by plan. */
     FleetMember &firstReader(const std::string &dataCentre)
     {
-        std::vector<MemberPlace> places;
+        std::vector<MemberLocation> places;
         for (const auto &member : members) {
             places.push_back(
                 {member->key(), member->settings.dataCentre, member->settings.isGateway()});
--- a/tests/gateway/test_feeds.cpp
+++ b/tests/gateway/test_feeds.cpp
@@ -369,7 +369,7 @@
     RelayLab().run([](RelayLab &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         const auto book
-            = [&]() -> const RecordBook & { return lab.follower.feeds().book(Feed::Replicas); };
+            = [&]() -> const FeedTable & { return lab.follower.feeds().book(Feed::Replicas); };
         co_await lab.leaveAndComeAgain();
         lab.reader.store.hasForgotten = true; // the removal itself is not read
         lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
--- a/tests/limits/limitlab.cpp
+++ b/tests/limits/limitlab.cpp
@@ -135,7 +135,7 @@
         replica.keeperSince = mNow + sMissedMs;
         if (mShape.way == LimitWay::HomePermits) {
             replica.permits = SendPermits();
-            replica.known = NamedLimit();
+            replica.known = ReplicaRateLimit();
             for (Gateway &gateway : mGateways) {
                 gateway.hasToldSends[index] = false;
             }
@@ -264,7 +264,7 @@
     if (!own.hasToldSends[index]) {
         own.hasToldSends[index] = true;
         for (const Instant sent : own.sent[index]) {
-            if (time() - sent < sSendSpan) {
+            if (time() - sent < sSendWindow) {
                 replica.permits.noteSend(sent);
             }
         }
--- a/tests/limits/limitlab.h
+++ b/tests/limits/limitlab.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "namedlimit.h"
+#include "replicaratelimit.h"
 #include "sendpermits.h"
 
 #include <cstdint>
@@ -69,7 +69,7 @@
     struct Gateway
     {
         bool isAlive = true;
-        std::vector<NamedLimit> limits; ///< by replica
+        std::vector<ReplicaRateLimit> limits; ///< by replica
         std::vector<bool> isTold;
         std::vector<Instant> deniedUntil;
         std::vector<SendPermits> own; ///< its own part, in the ways without permits
@@ -85,7 +85,7 @@
         std::deque<int> arrivals; ///< from gateways that were told
         std::multimap<int, std::pair<std::size_t, double>> answers; ///< on their way: to, named
         SendPermits permits;
-        NamedLimit known; ///< by who hands them out
+        ReplicaRateLimit known; ///< by who hands them out
         std::size_t keeper = 0; ///< a gateway, in the ways that have a home
         int keeperSince = 0;
         int taken = 0;
--- a/tests/lockedout/test_lockedout.cpp
+++ b/tests/lockedout/test_lockedout.cpp
@@ -18,15 +18,15 @@
 
 constexpr std::uint32_t sSlots = 16;
 
-EngineFigures engine()
+EngineProfile engine()
 {
-    EngineFigures figures;
+    EngineProfile figures;
     figures.slots = sSlots;
     figures.stepMs = 7;
-    figures.readTokensPerMs = 30;
+    figures.prefillTokensPerMs = 30;
     figures.stepsPerPass = 6;
-    figures.usualPrompt = 900;
-    figures.usualAnswer = 120;
+    figures.meanPromptTokens = 900;
+    figures.meanAnswerTokens = 120;
     return figures;
 }
 
@@ -44,7 +44,7 @@
 // again, and it is never idle: a quarter of its slots is taken at each report.
 BOOST_AUTO_TEST_CASE(a_gateway_never_returns_to_a_replica_that_rested_while_others_use_it)
 {
-    const EngineFigures figures = engine();
+    const EngineProfile figures = engine();
     ReplicaRecord record;
     record.id = "r1";
     record.service = "scorer";
--- a/tests/platform/test_records.cpp
+++ b/tests/platform/test_records.cpp
@@ -59,7 +59,7 @@
     BOOST_TEST(stream.isStream);
     BOOST_TEST(stream.isResumable);
     BOOST_TEST(stream.mayRepeat());
-    BOOST_TEST(!stream.isOpen);
+    BOOST_TEST(!stream.isPublic);
     BOOST_TEST(stream.timeout.count() == 6000);
     BOOST_TEST(stream.goal.count() == 400);
     BOOST_TEST(stream.pauseGoal.count() == 300);
@@ -69,13 +69,13 @@
     BOOST_REQUIRE(once.targets.size() == 2U);
     BOOST_TEST(once.targets[1].weight == 10U);
     BOOST_TEST(config.routes[2].mayRepeat());
-    const EngineFigures &engine = *config.services[0].engine;
-    BOOST_TEST(engine.readTokensPerMs == 31.9);
+    const EngineProfile &engine = *config.services[0].engine;
+    BOOST_TEST(engine.prefillTokensPerMs == 31.9);
     BOOST_TEST(engine.stepsPerPass == 6U);
     BOOST_TEST(engine.models.front() == "m1");
     BOOST_TEST(config.services[1].origin->address == "172.20.0.3:8006");
     BOOST_TEST(config.accounts[0].keys.size() == 2U);
-    BOOST_TEST(config.limits.idleTime.count() == 15000);
+    BOOST_TEST(config.limits.idleTimeout.count() == 15000);
 }
 
 BOOST_AUTO_TEST_CASE(records_that_cannot_be_read_are_refused_by_field)
--- a/tests/routing/test_routing.cpp
+++ b/tests/routing/test_routing.cpp
@@ -22,10 +22,10 @@
 
 namespace {
 
-UpstreamReport report(std::uint64_t life = 1)
+UpstreamReport report(std::uint64_t incarnation = 1)
 {
     UpstreamReport made;
-    made.incarnation = life;
+    made.incarnation = incarnation;
     made.versions = {"v1"};
     made.capacity = 10;
     made.isUpstreamAlive = true;
@@ -37,7 +37,7 @@
     UpstreamTable table;
     for (int i = 0; i < count; ++i) {
         const std::string box = "box-" + std::to_string(i);
-        table.list(box, "dc-a", "scorer", false);
+        table.updateListed(box, "dc-a", "scorer", false);
         table.report(box, report(), at(0));
     }
     return table;
@@ -55,7 +55,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_leaving_upstream_gets_no_new_work_whoever_says_so)
+BOOST_AUTO_TEST_CASE(leaving_upstream_gets_no_new_requests)
 {
     UpstreamTable table = tableOf(1);
     BOOST_TEST(table.choose(query(), at(1)).has_value());
@@ -68,18 +68,18 @@
     BOOST_TEST(!table.choose(query(), at(3)).has_value());
     table.report("box-0", report(2), at(4));
     BOOST_TEST(table.choose(query(), at(4)).has_value());
-    table.list("box-0", "dc-a", "scorer", true);
+    table.updateListed("box-0", "dc-a", "scorer", true);
     BOOST_TEST(!table.choose(query(), at(5)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_upstream_gets_no_new_work_after_three_seconds)
+BOOST_AUTO_TEST_CASE(silent_upstream_gets_no_new_requests_after_three_seconds)
 {
     UpstreamTable table = tableOf(1);
     BOOST_TEST(table.choose(query(), at(3'000)).has_value());
     BOOST_TEST(!table.choose(query(), at(3'001)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(only_holders_of_the_version_are_chosen)
+BOOST_AUTO_TEST_CASE(only_upstreams_with_the_version_are_chosen)
 {
     UpstreamTable table = tableOf(2);
     UpstreamReport newer = report();
@@ -93,25 +93,25 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(lagging_reports_are_corrected_by_own_calls)
+BOOST_AUTO_TEST_CASE(stale_reports_are_corrected_by_own_calls)
 {
     UpstreamTable table = tableOf(1);
     for (int i = 0; i < 4; ++i) {
-        table.began("box-0");
+        table.callStarted("box-0");
     }
     BOOST_TEST(table.find("box-0")->estimatedInFlight() == 4u);
     UpstreamReport lagging = report();
     lagging.inFlight = 6; // ours and two of another entry
     table.report("box-0", lagging, at(1));
-    table.began("box-0");
+    table.callStarted("box-0");
     BOOST_TEST(table.find("box-0")->estimatedInFlight() == 7u);
     for (int i = 0; i < 5; ++i) {
-        table.ended("box-0");
+        table.callEnded("box-0");
     }
     BOOST_TEST(table.find("box-0")->estimatedInFlight() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(a_prefix_stays_where_it_is_until_the_load_bound)
+BOOST_AUTO_TEST_CASE(prefix_affinity_holds_up_to_the_load_bound)
 {
     UpstreamTable table = tableOf(8);
     RouteQuery one = query();
@@ -122,14 +122,14 @@
     std::map<std::string, int> spread;
     for (int i = 0; i < 80; ++i) {
         const auto box = table.choose(one, at(1));
-        table.began(*box);
+        table.callStarted(*box);
         ++spread[*box];
     }
     // One hot prefix alone must not pin one upstream.
     BOOST_TEST(spread[*preferred] <= 14);
 }
 
-BOOST_AUTO_TEST_CASE(an_account_in_a_burst_leaves_the_others_their_share)
+BOOST_AUTO_TEST_CASE(bursting_account_leaves_other_accounts_their_share)
 {
     Admission admission(20);
     int admitted = 0;
@@ -146,7 +146,7 @@
     BOOST_TEST(refusal->retryAfter.count() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(the_limit_follows_what_upstreams_take)
+BOOST_AUTO_TEST_CASE(admission_limit_follows_upstream_refusals)
 {
     Admission admission(100);
     for (int i = 0; i < 50; ++i) {
@@ -182,7 +182,7 @@
     BOOST_TEST(!none.take());
 }
 
-BOOST_AUTO_TEST_CASE(burn_adds_up_and_shows_gaps)
+BOOST_AUTO_TEST_CASE(burn_counters_sum_windows_and_report_coverage)
 {
     BurnCounters counters(at(0));
     const BurnSeries series{"scorer", "center"};
@@ -198,7 +198,7 @@
     BOOST_TEST(burnVerdict(20, 1) == "ok");
 }
 
-BOOST_AUTO_TEST_CASE(rendezvous_moves_only_what_it_must)
+BOOST_AUTO_TEST_CASE(removed_node_moves_only_its_own_keys)
 {
     std::vector<std::string> nodes;
     for (int i = 0; i < 10; ++i) {
