--- a/src/libloomjunction/core/addressselector.cpp
+++ b/src/libloomjunction/core/addressselector.cpp
@@ -18,15 +18,17 @@
 
 namespace {
 
-// The platform's callers read no more.
+// Callers on the platform read at most this many addresses.
 constexpr std::size_t sMaxAddresses = 64;
-// Gateways of a near list: two may be lost and one start again, and one is left.
+// Minimum length of a list of local gateways. With four, one is still running after two
+// are lost while a third restarts.
 constexpr std::size_t sMinLocalGateways = 4;
-// A data centre keeps its callers for itself if it has at least one gateway for so
-// many of the largest: its gateways then get at most twice as many callers each.
+// Callers of a data centre stay local if the largest data centre has at most this many
+// times as many gateways. A local gateway then serves at most twice as many callers.
 constexpr std::size_t sMaxSizeRatio = 2;
-// Gateways that are heard here are told alone from this number on. Of fewer, many
-// callers would meet at the same ones, since all gateways listen to the readers.
+// Unmonitored gateways are left out if at least this many healthy ones are known. With
+// fewer, many callers would be sent to the same gateways, because every gateway monitors
+// the gateways that read the store.
 constexpr std::size_t sMinHealthyGateways = 8;
 
 } // namespace
@@ -40,8 +42,9 @@
 {
 }
 
-// Where one listens to some and hears none, the others' records may be of boxes
-// that went with them.
+// The records of unmonitored gateways are not trusted if gateways of the same data centre
+// are monitored and none of them is healthy: the boxes of those records may have failed
+// as well.
 bool AddressSelector::hasTrustedRecords(std::string_view dataCentre) const
 {
     bool isAnyUnavailable = false;
@@ -58,7 +61,7 @@
     return !isAnyUnavailable;
 }
 
-// Those that live, as far as is known here.
+// Returns the wanted gateways that are healthy or whose records are trusted.
 std::vector<const GatewayAddress *> AddressSelector::available(const Filter &isWanted) const
 {
     std::map<std::string_view, bool> trustByDataCentre;
@@ -81,7 +84,8 @@
     return gateways;
 }
 
-// The loss of one that is not heard shows here only when its record goes.
+// Drops unmonitored gateways if enough healthy ones remain. The loss of an unmonitored
+// gateway is noticed only when its record is removed.
 std::vector<const GatewayAddress *>
 AddressSelector::preferred(std::vector<const GatewayAddress *> available) const
 {
@@ -96,8 +100,8 @@
     return ordered(std::move(available));
 }
 
-// By the gateway that is asked, and the same each time: callers cease to use
-// connections to addresses that a new answer lacks.
+// Orders gateways by rendezvous hash of the answering gateway. Repeated answers must
+// agree, because callers stop using connections to addresses that a new answer lacks.
 std::vector<const GatewayAddress *>
 AddressSelector::ordered(std::vector<const GatewayAddress *> gateways) const
 {
@@ -123,10 +127,10 @@
     return largest;
 }
 
-// Counts those that are away, too: they will be back. Where one data centre sends its
-// callers to all gateways, one that kept its own would carry them and a part of the
-// others': 231 calls at its gateways while others got 79 (four, two and three gateways),
-// and 0.03 less in time.
+// Unavailable gateways count as well, because they are expected to return. If the callers
+// of one data centre use all gateways, another one that kept its callers local would serve
+// them and a part of the others': with four, two and three gateways, those of the largest
+// data centre got 231 calls each and others 79, and the share of calls in time fell by 0.03.
 bool AddressSelector::hasEnoughInEachDataCentre() const
 {
     std::map<std::string_view, std::size_t> sizes;
@@ -155,10 +159,10 @@
     std::vector<const GatewayAddress *> chosen;
     for (const auto &[location, filter] :
          {std::pair(&caller.dataCentre, &isInDataCentre), std::pair(&caller.region, &isInRegion)}) {
-        const auto near
+        const auto nearby
             = location->empty() ? std::vector<const GatewayAddress *>() : available(*filter);
-        if (isEnough(near.size())) {
-            chosen = preferred(near);
+        if (isEnough(nearby.size())) {
+            chosen = preferred(nearby);
             appendFallbacks(caller, *filter, chosen);
             break;
         }
@@ -175,11 +179,11 @@
     return addresses;
 }
 
-// A caller that is told near gateways only has nowhere to go, and nobody near to
-// ask, once all of them are lost together. But it uses a far one as often as any
-// other; so there is one for each data centre or region that may be lost at once,
-// and none where the operators allow for no such loss.
-void AddressSelector::appendFallbacks(const CallerLocation &caller, const Filter &isNear,
+// Appends remote gateways for the case that all local ones are lost together; a caller
+// would then have no gateway left and none to query for other addresses. A caller uses a
+// remote address as often as a local one, so there is only one for each data centre or
+// region that may be lost at once, and none if no such loss has to be tolerated.
+void AddressSelector::appendFallbacks(const CallerLocation &caller, const Filter &isNearby,
                                       std::vector<const GatewayAddress *> &chosen) const
 {
     const bool hasRegionFallbacks = mTolerance.regions > 0;
@@ -189,13 +193,14 @@
         return hasRegionFallbacks ? gateway.region : gateway.dataCentre;
     };
     std::set<std::string> covered{hasRegionFallbacks ? caller.region : caller.dataCentre};
-    auto far = ordered(available([&](const GatewayAddress &gateway) { return !isNear(gateway); }));
+    auto remote
+        = ordered(available([&](const GatewayAddress &gateway) { return !isNearby(gateway); }));
     const auto isHealthy = [](const GatewayAddress *gateway) {
         return gateway->availability == GatewayAvailability::Healthy;
     };
-    std::stable_partition(far.begin(), far.end(), isHealthy);
+    std::stable_partition(remote.begin(), remote.end(), isHealthy);
     chosen.resize(std::min(chosen.size(), sMaxAddresses - std::min(wanted, sMaxAddresses)));
-    for (const GatewayAddress *gateway : far) {
+    for (const GatewayAddress *gateway : remote) {
         if (covered.size() <= wanted && covered.insert(failureDomain(*gateway)).second) {
             chosen.push_back(gateway);
         }
--- a/src/libloomjunction/core/addressselector.h
+++ b/src/libloomjunction/core/addressselector.h
@@ -18,31 +18,31 @@
 
 namespace Loom {
 
-/** What one gateway knows of another that callers might use. */
+/** Availability of a gateway for callers, as seen by the gateway that answers. */
 enum class GatewayAvailability : std::uint8_t
 {
-    Healthy, ///< ready, as it says itself
-    Unmonitored, ///< recorded; nobody here listens to it
+    Healthy, ///< monitored from here, and reports that it is ready
+    Unmonitored, ///< only its membership record is known
     Unavailable, ///< silent, leaving or not ready
 };
 
-/** A gateway as an address for callers. */
+/** A gateway that callers could connect to. */
 struct GatewayAddress
 {
-    std::string callers; ///< IP:PORT
+    std::string callers; ///< IP:PORT on which it accepts callers
     std::string dataCentre;
-    std::string region; ///< empty: not told
+    std::string region; ///< empty if unknown
     GatewayAvailability availability = GatewayAvailability::Unmonitored;
 };
 
-/** Where a caller stands, as it says; empty: not told. */
+/** Location that a caller states in its query; fields are empty if unknown. */
 struct CallerLocation
 {
     std::string dataCentre;
     std::string region;
 };
 
-/** What may be lost at once while callers still have to be served. */
+/** Number of locations that may fail at the same time without callers losing service. */
 struct FailureTolerance
 {
     std::uint32_t dataCentres = 0;
@@ -52,20 +52,20 @@
 };
 
 /**
- * Which gateways a caller is told to use: those of its data centre, where there
- * are enough; else those of its region; else all. Where a data centre has too few for
- * good, its callers use all gateways, and so do those of the others. Links between data centres are
- * narrow and shared, and what a caller sends over one may lie there longer than
- * the caller stays.
+ * Selects the gateway addresses that a caller is given: the gateways of its data centre
+ * if there are enough of them, else those of its region, else all. If any data centre is
+ * permanently too small to serve its own callers, the callers of every data centre get
+ * all gateways. Local gateways are preferred because links between data centres are
+ * narrow and shared, and a request may be queued on one for longer than its caller waits.
  */
 class AddressSelector
 {
 public:
-    /** @p asked: key of the gateway that answers; others may choose others. */
+    /** @p gatewayKey identifies the gateway that answers; the selection depends on it. */
     AddressSelector(std::string_view gatewayKey, std::span<const GatewayAddress> gateways,
                     FailureTolerance tolerance);
 
-    /** Addresses for one caller, at most 64. */
+    /** Returns the addresses for @p caller, at most 64. */
     std::vector<std::string> choose(const CallerLocation &caller) const;
 
 private:
@@ -78,7 +78,7 @@
     std::vector<const GatewayAddress *> ordered(std::vector<const GatewayAddress *> gateways) const;
     std::size_t largestDataCentreSize() const;
     bool hasEnoughInEachDataCentre() const;
-    void appendFallbacks(const CallerLocation &caller, const Filter &isNear,
+    void appendFallbacks(const CallerLocation &caller, const Filter &isNearby,
                          std::vector<const GatewayAddress *> &chosen) const;
 
     std::string mGatewayKey;
--- a/src/libloomjunction/core/decay.h
+++ b/src/libloomjunction/core/decay.h
@@ -14,7 +14,7 @@
 
 namespace Loom {
 
-/** What is left of a count after @p time, where half of it is left after @p halfLifeMs. */
+/** Factor of exponential decay over @p elapsed, with a half-life of @p halfLifeMs. */
 inline double decayFactor(Microseconds elapsed, double halfLifeMs)
 {
     return std::exp2(-std::chrono::duration<double, std::milli>(elapsed).count() / halfLifeMs);
--- a/src/libloomjunction/core/instant.h
+++ b/src/libloomjunction/core/instant.h
@@ -14,8 +14,8 @@
 namespace Loom {
 
 /**
- * The core's own monotonic clock. It has no now(): time comes in with every
- * event, so the same decisions run under a daemon and under virtual time.
+ * Monotonic clock of the core library. It has no now(): callers pass the time with every
+ * event, so that the same code runs in a daemon and in simulated time.
  */
 struct CoreClock
 {
@@ -30,7 +30,7 @@
 using Microseconds = std::chrono::microseconds;
 using Milliseconds = std::chrono::milliseconds;
 
-/** Milliseconds since the Unix epoch, by the wall clock of some box. */
+/** Milliseconds since the Unix epoch, according to the wall clock of a box. */
 using WallMilliseconds = std::chrono::duration<std::int64_t, std::milli>;
 
 } // namespace Loom
--- a/src/libloomjunction/core/memberfailuredetector.cpp
+++ b/src/libloomjunction/core/memberfailuredetector.cpp
@@ -31,7 +31,8 @@
     period.last = at;
 }
 
-// A link between data centres that stands still holds up all members behind it alike.
+// A stalled link between data centres delays the messages of all members behind it, so
+// their silence is no sign of a failure. There is no such link within a data centre.
 bool MemberFailureDetector::isOverdue(std::string_view dataCentre, Instant since, Instant now,
                                       Milliseconds timeout) const
 {
--- a/src/libloomjunction/core/memberfailuredetector.h
+++ b/src/libloomjunction/core/memberfailuredetector.h
@@ -17,23 +17,30 @@
 
 namespace Loom {
 
-/** Tells a member that is gone from one that merely cannot be heard. */
+/**
+ * Distinguishes a member that has failed from one whose data centre cannot be reached, by
+ * the times at which messages of members were received.
+ */
 class MemberFailureDetector
 {
 public:
-    /** @p gap: a data centre that was silent for longer could not be heard. */
+    /** A data centre counts as unreachable while it was silent for longer than @p maxGap. */
     MemberFailureDetector(std::string ownDataCentre, Milliseconds maxGap);
 
-    /** Some member of @p dataCentre was heard. */
+    /** Notes that a message of some member of @p dataCentre was received at time @p at. */
     void noteHeard(std::string_view dataCentre, Instant at);
-    /** Whether one of @p dataCentre that is silent since @p since counts as gone after @p bound. */
+    /**
+     * Whether a member of @p dataCentre that is silent since @p since counts as failed.
+     * Only time during which its data centre was reachable counts towards @p timeout.
+     */
     bool isOverdue(std::string_view dataCentre, Instant since, Instant now,
                    Milliseconds timeout) const;
 
 private:
+    /** Period in which messages of a data centre were received without a gap. */
     struct ContactPeriod
     {
-        Instant since; ///< without a gap
+        Instant since; ///< start of the current period without a gap
         Instant last;
     };
 
--- a/src/libloomjunction/core/memberplan.cpp
+++ b/src/libloomjunction/core/memberplan.cpp
@@ -17,14 +17,15 @@
 namespace {
 
 constexpr std::string_view sReadersKey = "feed-readers";
-// Next in turn when a reader fails: everybody must know whether these live.
+// The current reader and those that succeed it. Every gateway follows them, because it must
+// know whether they are alive.
 constexpr std::size_t sReaderCandidates = 3;
-// Gateways whose state one follows. Callers get their addresses from it, so there
-// must be some to choose from; to follow all of 149 would be 740 messages a second at
-// each gateway (reckoned: 148 others, 2.5 a second, both ways).
+// Number of gateways that one gateway follows. Callers get addresses of followed gateways,
+// so there must be several. Following all of 149 would cost a calculated 740 messages per
+// second at each gateway (148 others, 2.5 per second, in both directions).
 constexpr std::size_t sMaxFollowed = 16;
 constexpr std::size_t sMaxFollowedLocal = 12;
-// Gateways that watch one agent, so that some may fail together.
+// Several gateways monitor each agent, so that some of them may fail at the same time.
 constexpr std::size_t sWatchersPerAgent = 3;
 
 } // namespace
@@ -35,7 +36,8 @@
 {
 }
 
-// Of one data centre, or of all for an empty one; this gateway among them.
+// Returns the gateways of a data centre, or all gateways if @p dataCentre is empty. This
+// gateway is included.
 std::vector<std::string> MemberPlan::gatewaysIn(std::string_view dataCentre) const
 {
     const auto isIn = [&](const MemberLocation &member) {
@@ -100,7 +102,8 @@
     return chosen;
 }
 
-// A few gateways of the agent's data centre, or of all where it has none.
+// Each agent is monitored by some gateways of its data centre, or by some of all gateways if
+// its data centre has none.
 std::set<std::string> MemberPlan::agentsToWatch() const
 {
     std::set<std::string> watched;
--- a/src/libloomjunction/core/memberplan.h
+++ b/src/libloomjunction/core/memberplan.h
@@ -17,15 +17,15 @@
 
 namespace Loom {
 
-/** Where a process of the system stands. */
+/** Location and role of a process of the system. */
 struct MemberLocation
 {
-    std::string key; ///< of its record among the members
+    std::string key; ///< of its membership record
     std::string dataCentre;
     bool isGateway = false;
 };
 
-/** Among which gateways one reads the store for the others. */
+/** Scope within which one gateway reads the store for the others. */
 enum class ReaderScope : std::uint8_t
 {
     Global,
@@ -33,21 +33,21 @@
 };
 
 /**
- * What one gateway does for the others, worked out from who takes part: whose
- * state it follows, whose loss it has to notice, and who reads the store. The
- * work of one gateway stays the same however many there are.
+ * Assigns work to one gateway on the basis of the current members: which gateways' state
+ * it follows, which agents it monitors and in which order gateways read the store. Each
+ * gateway computes its part independently, and its work does not grow with their number.
  */
 class MemberPlan
 {
 public:
-    /** @p self: the gateway itself, which @p others do not hold. */
+    /** @p self is the gateway itself; @p others must not contain it. */
     MemberPlan(MemberLocation self, std::span<const MemberLocation> others);
 
-    /** Keys of gateways whose state this one follows. */
+    /** Keys of the gateways whose state this one follows. */
     std::set<std::string> gatewaysToFollow() const;
-    /** Keys of agents that this gateway asks even when it needs nothing of them. */
+    /** Keys of the agents that this gateway polls to notice their failure. */
     std::set<std::string> agentsToWatch() const;
-    /** Gateways in the order in which they read; the same at every one of them. */
+    /** Keys of the gateways of @p scope, in the order in which they take over reading the store. */
     std::vector<std::string> readerOrder(ReaderScope scope) const;
 
 private:
--- a/src/libloomjunction/core/overload.h
+++ b/src/libloomjunction/core/overload.h
@@ -10,7 +10,7 @@
 
 namespace Loom {
 
-/** A visitor made of one lambda for each alternative of a std::variant. */
+/** Visitor for a std::variant, composed of one lambda for each alternative. */
 template <class... Ts> struct Overload : Ts...
 {
     using Ts::operator()...;
--- a/src/libloomjunction/core/reloadschedule.cpp
+++ b/src/libloomjunction/core/reloadschedule.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-// Chunks take about two fifths of the time to arrive. After the last turn a
-// replica still has to end what is running, and to take the weights.
+// Fractions of the time limit. Chunks take about 0.40 of it to arrive. After the last turn
+// a replica still needs time to finish its running requests and to load the weights.
 constexpr double sFirstTurnFraction = 0.40;
 constexpr double sLastTurnFraction = 0.80;
 
@@ -48,7 +48,8 @@
         = std::ranges::find_if(order, [&](std::size_t index) { return all[index] == self; });
     const auto rank = static_cast<std::int64_t>(own - order.begin());
     const auto last = std::max<std::int64_t>(static_cast<std::int64_t>(all.size()) - 1, 1);
-    // Turns that were over before the weights came would all be taken at once.
+    // The first turn is not before the arrival of the weights. Otherwise replicas whose turns
+    // are over by then would all reload at once.
     const Instant end = announcedAt + mLastOffset;
     const Instant begin = std::min(std::max(announcedAt + mFirstOffset, readyAt), end);
     return begin + (end - begin) * rank / last;
--- a/src/libloomjunction/core/reloadschedule.h
+++ b/src/libloomjunction/core/reloadschedule.h
@@ -18,20 +18,20 @@
 namespace Loom {
 
 /**
- * When an agent may make its replica load a newly named version: the replicas
- * of a service take turns, spread over the time that the version has, so that
- * the others carry the load. Nothing is agreed on: every agent orders the
- * members by the same hash, and a wrong view of them only moves its turn.
+ * Determines when an agent may make its replica load a new version. The replicas of a
+ * service reload in turn, spread over the time allowed for the version, so that the others
+ * can take over their load. The agents need no coordination: each orders the members by
+ * the same hash, and an outdated member list only shifts its own turn.
  */
 class ReloadSchedule
 {
 public:
-    /** @p limit: the time from naming a version until older ones may begin nothing. */
+    /** @p limit is the time from announcing a version until older ones may start no request. */
     explicit ReloadSchedule(Milliseconds limit);
 
     /**
-     * The moment of @p self among @p members (with or without it). @p readyAt:
-     * when the version was here whole; the others have it at about that time.
+     * Time of the reload of @p self among @p members (which may lack it). @p readyAt is
+     * when this box had the complete version; other boxes have it at about that time.
      */
     Instant at(std::string_view versionKey, std::string_view self,
                std::span<const std::string> members, Instant announcedAt, Instant readyAt) const;
--- a/src/libloomjunction/core/rendezvous.cpp
+++ b/src/libloomjunction/core/rendezvous.cpp
@@ -42,8 +42,8 @@
     return order;
 }
 
-// Plain rendezvous gives some nodes several times the even share, and what they
-// own is done last: chunks of 64 for 20 boxes, up to 7 to one.
+// Plain rendezvous hashing gives some nodes several times the equal share, and the keys of
+// those nodes are finished last: of 64 chunks for 20 boxes, one box owned up to 7.
 std::vector<std::size_t> evenOwners(std::span<const std::string> keys,
                                     std::span<const std::string> nodes)
 {
@@ -55,7 +55,7 @@
     std::vector<std::size_t> ownedCounts(nodes.size());
     owners.reserve(keys.size());
     for (const std::string &key : keys) {
-        // The last keys, fewer than nodes, go to one more each.
+        // Each of the remaining keys goes to a different node, beyond its base share.
         const std::size_t maxOwned
             = owners.size() < baseShare * nodes.size() ? baseShare : baseShare + 1;
         std::size_t best = nodes.size();
--- a/src/libloomjunction/core/rendezvous.h
+++ b/src/libloomjunction/core/rendezvous.h
@@ -17,17 +17,18 @@
 
 namespace Loom {
 
-/** Weight of @p node for @p key; the same on every box and in every build. */
+/** Rendezvous weight of @p node for @p key; identical on every box and in every build. */
 std::uint64_t rendezvousWeight(std::string_view key, std::string_view node);
 
-/** Indexes of @p nodes, heaviest for @p key first; at most @p count of them. */
+/** Indexes of @p nodes by descending weight for @p key, at most @p count of them. */
 std::vector<std::size_t> rendezvousOrder(std::string_view key, std::span<const std::string> nodes,
                                          std::size_t count);
 
 /**
- * The owner of each of @p keys as an index of @p nodes: the heaviest node that
- * does not own its even share yet. The same for the same lists in the same
- * order; a node that comes or goes moves few keys beyond its own.
+ * Assigns an owner to each of @p keys, returned as an index of @p nodes: the node with the
+ * highest weight that does not have its equal share of keys yet. The result depends only
+ * on the two lists and their order. Adding or removing a node reassigns few keys besides
+ * those of that node.
  */
 std::vector<std::size_t> evenOwners(std::span<const std::string> keys,
                                     std::span<const std::string> nodes);
--- a/tests/direct/test_addressselector.cpp
+++ b/tests/direct/test_addressselector.cpp
@@ -22,7 +22,7 @@
 
 constexpr FailureTolerance sNoTolerance;
 
-/** So many gateways of one data centre, named after it. */
+/** Adds @p count gateways of one data centre, whose addresses begin with its name. */
 void add(std::vector<GatewayAddress> &gateways, const std::string &dataCentre,
          const std::string &region, std::size_t count,
          GatewayAvailability availability = GatewayAvailability::Healthy)
@@ -104,7 +104,7 @@
 BOOST_AUTO_TEST_CASE(too_few_local_gateways_fall_back_to_region_then_to_all)
 {
     auto gateways = threeDataCentres();
-    // With seven of the largest's fourteen a data centre still serves its own callers.
+    // Seven gateways are half of the fourteen of the largest data centre, which is enough.
     setAvailability(gateways, "a", 0, 6, GatewayAvailability::Unavailable);
     BOOST_TEST(choose(gateways, {"a", "r"}).size() == 7);
     setAvailability(gateways, "a", 0, 7, GatewayAvailability::Unavailable);
@@ -112,7 +112,7 @@
     BOOST_TEST(countOf(addresses, "a") == 6);
     BOOST_TEST(countOf(addresses, "b") == 12);
     BOOST_TEST(countOf(addresses, "c") == 0);
-    // The callers beside it stay where they are.
+    // Callers of another data centre in the region still get their local gateways.
     BOOST_TEST(choose(gateways, {"b", "r"}).size() == 12);
     setAvailability(gateways, "b", 0, 12, GatewayAvailability::Unavailable);
     addresses = choose(gateways, {"a", "r"});
@@ -120,8 +120,9 @@
     BOOST_TEST(countOf(addresses, "c") == 14);
 }
 
-// Four, two and three gateways: the callers of the two and the three used all nine, those
-// of the four only these, so that one gateway got 231 calls while others got 79.
+// Guards against uneven load with four, two and three gateways: callers of the two smaller
+// data centres used all nine, callers of the largest only its four, so that one gateway got
+// 231 calls while others got 79.
 BOOST_AUTO_TEST_CASE(undersized_data_centre_makes_all_callers_use_all_gateways)
 {
     std::vector<GatewayAddress> gateways;
@@ -134,7 +135,7 @@
     add(gateways, "b", "s", 2);
     add(gateways, "c", "t", 1);
     BOOST_TEST(choose(gateways, {"a", "r"}).size() == 4);
-    // One that is away comes back; the callers of the others stay where they are.
+    // Unavailable gateways are expected to return, so callers elsewhere still stay local.
     setAvailability(gateways, "b", 0, 3, GatewayAvailability::Unavailable);
     BOOST_TEST(choose(gateways, {"a", "r"}).size() == 4);
 }
@@ -164,9 +165,9 @@
 {
     auto gateways = threeDataCentres();
     setAvailability(gateways, "c", 1, 13, GatewayAvailability::Unmonitored);
-    // One is heard, so the others' records count.
+    // One gateway is healthy, so the records of the others are trusted.
     BOOST_TEST(choose(gateways, {"c", "s"}).size() == 14);
-    // None is listened to: the same.
+    // No gateway is monitored, so nothing speaks against the records either.
     setAvailability(gateways, "c", 0, 1, GatewayAvailability::Unmonitored);
     BOOST_TEST(choose(gateways, {"c", "s"}).size() == 14);
 }
@@ -207,7 +208,7 @@
         }
     }
     BOOST_TEST(shares.size() == 160);
-    // 80 each in the mean, with a deviation of 7.
+    // The mean is 80 answers for each gateway, with a standard deviation of 7.
     for (const auto &[address, share] : shares) {
         BOOST_TEST(share > 45);
         BOOST_TEST(share < 115);
@@ -223,15 +224,15 @@
     addresses = choose(gateways, {"a", "r"}, {2, 0});
     BOOST_TEST(countOf(addresses, "b") == 1);
     BOOST_TEST(countOf(addresses, "c") == 1);
-    // Of another region where one may be lost.
+    // If a region may be lost, the fallback is in another region.
     addresses = choose(gateways, {"a", "r"}, {1, 1});
     BOOST_TEST(countOf(addresses, "b") == 0);
     BOOST_TEST(countOf(addresses, "c") == 1);
-    // One that is heard, if there is any.
+    // Healthy gateways are preferred as fallbacks.
     setAvailability(gateways, "c", 1, 13, GatewayAvailability::Unmonitored);
     addresses = choose(gateways, {"a", "r"}, {1, 1});
     BOOST_TEST(std::ranges::count(addresses, "c/25") == 1);
-    // Within the most that an answer holds.
+    // Fallbacks count towards the maximum of 64 addresses.
     std::vector<GatewayAddress> many;
     add(many, "a", "r", 80);
     add(many, "b", "s", 80);
@@ -243,14 +244,14 @@
 BOOST_AUTO_TEST_CASE(fallbacks_spread_callers_of_a_lost_data_centre)
 {
     const auto gateways = threeDataCentres();
-    std::set<std::string> far;
+    std::set<std::string> remote;
     for (std::size_t gatewayKey = 0; gatewayKey < 13; ++gatewayKey) {
         for (const std::string &address :
              choose(gateways, {"a", "r"}, {1, 0}, "g" + std::to_string(gatewayKey))) {
             if (!address.starts_with("a/")) {
-                far.insert(address);
+                remote.insert(address);
             }
         }
     }
-    BOOST_TEST(far.size() >= 6);
+    BOOST_TEST(remote.size() >= 6);
 }
--- a/tests/direct/test_memberfailuredetector.cpp
+++ b/tests/direct/test_memberfailuredetector.cpp
@@ -23,7 +23,7 @@
     return Instant(Milliseconds(milliseconds));
 }
 
-/** Members of "far" and "near" are heard regularly from @p from to @p to. */
+/** Members of "far" and "near" send messages regularly between @p from and @p to. */
 void noteAllHeard(MemberFailureDetector &detector, int from, int to)
 {
     for (Instant time = at(from); time <= at(to); time += sInterval) {
@@ -44,15 +44,15 @@
     }
 }
 
-// A link between data centres that stood full for some seconds let gateways forget
-// members behind it that lived all the time.
+// Guards against removing live members of another data centre: a link between data centres
+// was saturated for some seconds, and gateways dropped all members behind it.
 BOOST_AUTO_TEST_CASE(member_of_an_unreachable_data_centre_is_not_overdue)
 {
     MemberFailureDetector detector("near", sMaxGap);
     BOOST_TEST(!detector.isOverdue("far", at(0), at(60'000), sTimeout));
     noteAllHeard(detector, 0, 2'000);
     BOOST_TEST(!detector.isOverdue("far", at(2'000), at(60'000), sTimeout));
-    // Nothing lies between members of one data centre that could hold all of them up.
+    // Members of the same data centre share no link that could delay all of them.
     BOOST_TEST(detector.isOverdue("near", at(2'000), at(60'000), sTimeout));
 }
 
--- a/tests/direct/test_memberplan.cpp
+++ b/tests/direct/test_memberplan.cpp
@@ -17,8 +17,9 @@
 
 namespace {
 
-/** So many gateways and agents, spread over data centres; the first gateway is "g0". */
-std::vector<MemberLocation> fleet(std::size_t gateways, std::size_t agents, std::size_t dataCentres)
+/** Makes gateways and agents, spread over the data centres; the first gateway is "g0". */
+std::vector<MemberLocation> makeMembers(std::size_t gateways, std::size_t agents,
+                                        std::size_t dataCentres)
 {
     std::vector<MemberLocation> members;
     for (std::size_t index = 0; index < gateways; ++index) {
@@ -48,9 +49,9 @@
 
 BOOST_AUTO_TEST_CASE(followed_gateways_do_not_grow_with_the_fleet)
 {
-    for (const auto &[gateways, agents, zones] :
+    for (const auto &[gateways, agents, dataCentres] :
          {std::tuple{6U, 12U, 3U}, {34U, 45U, 3U}, {149U, 120U, 5U}, {320U, 1'800U, 13U}}) {
-        const auto members = fleet(gateways, agents, zones);
+        const auto members = makeMembers(gateways, agents, dataCentres);
         const auto others = withoutMember(members, "g0");
         const MemberPlan plan(memberWithKey(members, "g0"), others);
         const auto followed = plan.gatewaysToFollow();
@@ -58,8 +59,8 @@
         const auto local = std::ranges::count_if(followed, [&](const std::string &key) {
             return memberWithKey(members, key).dataCentre == "z0";
         });
-        if (gateways / zones > 20) {
-            BOOST_TEST(local >= 9); // of twelve, three may be readers that stand elsewhere
+        if (gateways / dataCentres > 20) {
+            BOOST_TEST(local >= 9); // three of the twelve may be remote readers
         }
         BOOST_TEST(followed.size() - static_cast<std::size_t>(local) >= 3U);
     }
@@ -67,7 +68,7 @@
 
 BOOST_AUTO_TEST_CASE(every_gateway_follows_the_next_readers)
 {
-    const auto members = fleet(149, 120, 5);
+    const auto members = makeMembers(149, 120, 5);
     std::vector<std::string> expected;
     for (std::size_t index = 0; index < 149; ++index) {
         const std::string key = "g" + std::to_string(index);
@@ -89,7 +90,7 @@
 
 BOOST_AUTO_TEST_CASE(every_agent_is_watched_by_three_gateways)
 {
-    auto members = fleet(149, 120, 5);
+    auto members = makeMembers(149, 120, 5);
     members.push_back({"lonely", "elsewhere", false});
     std::map<std::string, int> watchers;
     std::size_t maxWatched = 0;
@@ -111,7 +112,7 @@
 
 BOOST_AUTO_TEST_CASE(removed_gateway_changes_few_followed_gateways)
 {
-    const auto members = fleet(149, 120, 5);
+    const auto members = makeMembers(149, 120, 5);
     const auto others = withoutMember(members, "g0");
     const auto before = MemberPlan(memberWithKey(members, "g0"), others).gatewaysToFollow();
     const auto fewer = withoutMember(others, *before.begin());
