--- a/src/libloomjunction/core/admission.cpp
+++ b/src/libloomjunction/core/admission.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-// From this part of the limit on, accounts over their share are refused, so
-// that there is always room for those under theirs.
+// Above this fraction of the limit, accounts over their share are refused, so that there
+// is always room for accounts under theirs.
 constexpr double sContentionThreshold = 0.8;
 constexpr double sDecreaseFactor = 0.9;
 constexpr Milliseconds sMinDecreaseInterval{100};
 constexpr Milliseconds sCompletionWindow{250};
-// An account counts as active for this long after it last asked.
+// An account counts as active for this long after its last request.
 constexpr Milliseconds sActivePeriod{2'000};
 constexpr Milliseconds sMinRetryAfter{50};
 constexpr Milliseconds sMaxRetryAfter{10'000};
@@ -40,7 +40,7 @@
     if (ceiling == mCeiling) {
         return;
     }
-    // A raised ceiling frees the limit at once; the upstreams' refusals bring it down again.
+    // A raised ceiling applies immediately; refusals of the upstreams lower the limit again.
     mLimit = ceiling > mCeiling ? ceiling : std::min<double>(mLimit, ceiling);
     mCeiling = ceiling;
 }
@@ -88,7 +88,7 @@
         weights += active ? other.weight : 0;
     }
     const double fair = mLimit * share.weight / std::max(weights, 1.0);
-    // Even a lone account leaves the reserve, or the next one would find no room.
+    // A single active account leaves the reserve free too, so that the next one finds room.
     return std::max(1.0, std::min(fair, mLimit * sContentionThreshold));
 }
 
@@ -105,7 +105,8 @@
         return;
     }
     if (now - mLastDecrease >= sMinDecreaseInterval) {
-        // Never under what is in flight by a wide margin: one decrease speaks of now.
+        // A limit above the requests in flight is first lowered to them, because the refusal
+        // tells about the current load only. One decrease thus ends close to that load.
         mLimit = std::max(1.0, std::min<double>(mLimit, mInFlight + 1) * sDecreaseFactor);
         mLastDecrease = now;
     }
@@ -130,7 +131,7 @@
     if (mCompletionsPerSecond <= 0 || stale) {
         return Milliseconds(1'000);
     }
-    // Time until the room that accounts under their share do not need is free again.
+    // Time until the load has fallen below the contention threshold.
     const double excess = std::max(1.0, mInFlight - mLimit * sContentionThreshold + 1);
     const auto wait
         = Milliseconds(static_cast<std::int64_t>(1000.0 * excess / mCompletionsPerSecond));
--- a/src/libloomjunction/core/admission.h
+++ b/src/libloomjunction/core/admission.h
@@ -20,30 +20,30 @@
 namespace Loom {
 
 /**
- * Admits requests of one service at one entry. The limit follows what the
- * upstreams accept (additive increase, multiplicative decrease); while the
- * service is contended each client account gets its weighted share. Refusals
- * are immediate and say when to come back. Owned by the caller front.
+ * Admission control for the requests of one service at one gateway. The concurrency limit
+ * follows what the upstreams accept (additive increase, multiplicative decrease). While
+ * the service is contended, each client account gets its weighted share. A request is
+ * refused immediately, with the time after which to retry. Owned by the caller front.
  */
 class Admission
 {
 public:
-    /** @p ceiling is the configured most in flight. */
+    /** @p ceiling is the configured maximum of requests in flight. */
     explicit Admission(std::uint32_t ceiling);
 
     void setCeiling(std::uint32_t ceiling);
 
-    /** Nothing when admitted (release() must follow), else the refusal. */
+    /** Returns the refusal, or nothing if admitted; release() must follow then. */
     std::optional<NotRun> admit(std::string_view account, std::uint32_t weight, Instant now);
 
-    /** An admitted request ended; @p upstreamRefused: an upstream said it was full. */
+    /** Ends an admitted request. @p upstreamRefused: an upstream reported that it was full. */
     void release(std::string_view account, bool upstreamRefused, Instant now);
 
     std::uint32_t limit() const { return static_cast<std::uint32_t>(mLimit); }
     std::uint32_t inFlight() const { return mInFlight; }
     std::uint32_t inFlightOf(std::string_view account) const;
 
-    /** When a refused caller should come back, from the drain rate. */
+    /** Delay after which a refused caller should retry, from the completion rate. */
     Milliseconds retryAfter(Instant now) const;
 
 private:
--- a/src/libloomjunction/core/callerwaitestimator.cpp
+++ b/src/libloomjunction/core/callerwaitestimator.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// Of the first tries, that may be taken for later ones: as few as some seconds of one
-// gateway's requests tell apart.
+// Fraction of first tries that may be mistaken for retries. It is as small as can be
+// resolved with the requests that one gateway receives within some seconds.
 constexpr double sMisclassifiedFraction = 0.01;
-// Before so many requests nothing is known of how callers begin.
+// With fewer requests the timeouts of first tries are unknown.
 constexpr double sMinSamples = 20;
-// So many are remembered; older ones count half then, and callers may change.
+// At this number of requests all counts are halved, so that the estimate follows callers
+// that change their timeouts.
 constexpr double sMaxSamples = 4'000;
 
 } // namespace
@@ -42,7 +43,7 @@
     const double bucket = remainingFraction(route, timeLeft) * (sBucketCount - 1);
     mBucketCounts[static_cast<std::size_t>(bucket)] += 1;
     mRequestCount += 1;
-    // Whoever is refused comes once more, so that many of all requests are second tries.
+    // A refused caller retries once, so this fraction of all requests are second tries.
     mRetryCount += refused / (1 + refused);
     if (mRequestCount < sMaxSamples) {
         return;
@@ -54,8 +55,8 @@
     mRetryCount /= 2;
 }
 
-// The lowest part of the longest time that first tries still have. Later tries have
-// less, so they make up the lowest ones, as many as there may be.
+// Returns the lowest bucket that contains first tries. Retries have less time left, so
+// the estimated number of retries is taken from the lowest buckets.
 std::size_t CallerWaitEstimator::firstTryThreshold() const
 {
     double left = mRetryCount + sMisclassifiedFraction * mRequestCount;
@@ -77,7 +78,7 @@
     if (remainingFraction(route, timeLeft) * (sBucketCount - 1) >= static_cast<double>(threshold)) {
         return Milliseconds(0);
     }
-    // It began with any of the times of first tries; their middle is the best guess.
+    // The initial timeout is unknown within the range of first tries; its midpoint is used.
     const double middle = (static_cast<double>(threshold) / (sBucketCount - 1) + 1) / 2;
     const auto initialTime
         = static_cast<std::int64_t>(static_cast<double>(maxTimeLeft->second.count()) * middle);
--- a/src/libloomjunction/core/callerwaitestimator.h
+++ b/src/libloomjunction/core/callerwaitestimator.h
@@ -20,23 +20,23 @@
 namespace Loom {
 
 /**
- * How long callers have tried before a request comes, told by the time that they have
- * left. Callers of one route need not begin with the same time: what lies within the
- * times of first tries says nothing, and what lies below them is a later try.
+ * Estimates from the time that a caller has left how long it has been retrying before a
+ * request arrives. First tries on one route need not have the same timeout: a remaining
+ * time within the range of first tries tells nothing, one below that range is a retry.
  */
 class CallerWaitEstimator
 {
 public:
     /**
-     * A request on @p route has @p timeLeft. @p refused: share of the requests of late
-     * that were refused, and may be back.
+     * Adds a request on @p route that has @p timeLeft. @p refused is the recent fraction
+     * of requests that were refused and may have been retried.
      */
     void note(std::string_view route, Milliseconds timeLeft, double refused);
-    /** Since the caller's first try; zero for whoever may be at its first. */
+    /** Estimated time since the caller's first try; zero if this may be its first try. */
     Milliseconds waitedBefore(std::string_view route, Milliseconds timeLeft) const;
 
 private:
-    /** Times that are left, in parts of the route's longest. */
+    /** Histogram buckets of the time left, as a fraction of the route's longest time. */
     static constexpr std::size_t sBucketCount = 200;
 
     double remainingFraction(std::string_view route, Milliseconds timeLeft) const;
@@ -45,7 +45,7 @@
     std::map<std::string, Milliseconds, std::less<>> mMaxTimeLeft; ///< by route
     std::array<double, sBucketCount> mBucketCounts{};
     double mRequestCount = 0;
-    double mRetryCount = 0; ///< of those, as many as may have been later tries
+    double mRetryCount = 0; ///< how many of the requests may have been retries
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/exponentialtimeout.h
+++ b/src/libloomjunction/core/exponentialtimeout.h
@@ -13,8 +13,8 @@
 namespace Loom {
 
 /**
- * How long the next try of a call may take: twice as long after each one that ran
- * out of time, as before after one that succeeded.
+ * Timeout of the next try of a call. It doubles after each try that timed out, up to a
+ * maximum, and returns to the minimum after a success.
  */
 class ExponentialTimeout
 {
--- a/src/libloomjunction/core/quarantine.cpp
+++ b/src/libloomjunction/core/quarantine.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Replicas that are named in an entry; more tell nothing.
+// Maximum number of crashed replicas in an entry; more of them add no information.
 constexpr std::size_t sMaxIncarnations = 16;
 
 } // namespace
@@ -26,7 +26,7 @@
     if (found != mEntries.end()) {
         return found->second;
     }
-    if (mEntries.size() >= mBounds.maxEntries) {
+    if (mEntries.size() >= mLimits.maxEntries) {
         evictOne(account);
     }
     TrackedRequest &held = mEntries[digest];
@@ -35,8 +35,8 @@
     return held;
 }
 
-// An account that floods the table pushes out its own entries; of those, the one that
-// says least.
+// Evicts the entry with the fewest crashes of the account that has the most entries, so that
+// an account that floods the table evicts its own entries.
 void Quarantine::evictOne(const std::string &account)
 {
     std::map<std::string, std::size_t> counts{{account, 1}};
@@ -78,25 +78,25 @@
     mByRevision[held.revision] = held.entry.digest;
 }
 
-// Ever longer for each crash beyond those that it took: one that goes on ending replicas
-// gets a trial ever more rarely, and one that was refused wrongly gets its first soon.
+// The duration grows with each crash after the refusal. A request that crashes replicas in
+// its trials is tried ever more rarely, while a wrongly refused one is soon tried first.
 Milliseconds Quarantine::refusalPeriod(const QuarantineEntry &entry) const
 {
     const std::size_t extraCrashes
-        = entry.lives.size() - std::min(entry.lives.size(), mBounds.crashes);
-    return mBounds.refusalPeriods[std::min(extraCrashes, mBounds.refusalPeriods.size() - 1)];
+        = entry.lives.size() - std::min(entry.lives.size(), mLimits.crashes);
+    return mLimits.refusalPeriods[std::min(extraCrashes, mLimits.refusalPeriods.size() - 1)];
 }
 
 bool Quarantine::isRefused(const QuarantineEntry &entry, Instant now) const
 {
-    return entry.lives.size() >= mBounds.crashes && now < entry.lastEventAt + refusalPeriod(entry);
+    return entry.lives.size() >= mLimits.crashes && now < entry.lastEventAt + refusalPeriod(entry);
 }
 
 bool Quarantine::isExpired(const QuarantineEntry &entry, Instant now) const
 {
-    const bool wasRefused = entry.lives.size() >= mBounds.crashes;
-    const Milliseconds kept = wasRefused ? 2 * refusalPeriod(entry) : mBounds.crashMemory;
-    return now >= entry.lastEventAt + std::max(kept, mBounds.crashMemory);
+    const bool wasRefused = entry.lives.size() >= mLimits.crashes;
+    const Milliseconds retention = wasRefused ? 2 * refusalPeriod(entry) : mLimits.crashMemory;
+    return now >= entry.lastEventAt + std::max(retention, mLimits.crashMemory);
 }
 
 QuarantineNews Quarantine::changeAfterCrash(TrackedRequest &held, bool wasRefused, Instant now)
@@ -120,8 +120,9 @@
     return changeAfterCrash(held, wasRefused, now);
 }
 
-// What ends replicas ends each that runs it. So one good end says that it was beside the
-// request that did, and what others still tell of the crashes before it counts no more.
+// A request that crashes replicas crashes every replica that runs it. A successful run thus
+// shows that another request caused the crashes, and starts an epoch in which reports of
+// earlier crashes are ignored.
 bool Quarantine::noteGoodEnd(const RequestDigest &digest, Instant now)
 {
     const auto found = mEntries.find(digest);
@@ -166,13 +167,13 @@
     return changeAfterCrash(held, wasRefused, now);
 }
 
-// Trials are given by one gateway, one at a time: where each gave its own, a request that
-// ends replicas would end as many as there are gateways.
+// Only one gateway gives trials, one at a time. If every gateway gave its own, a request that
+// crashes replicas would crash as many of them as there are gateways.
 std::optional<Milliseconds> Quarantine::refusedFor(const RequestDigest &digest, bool isHome,
                                                    Instant now) const
 {
     const auto found = mEntries.find(digest);
-    if (found == mEntries.end() || found->second.entry.lives.size() < mBounds.crashes) {
+    if (found == mEntries.end() || found->second.entry.lives.size() < mLimits.crashes) {
         return std::nullopt;
     }
     const QuarantineEntry &entry = found->second.entry;
@@ -180,17 +181,17 @@
         return std::chrono::ceil<Milliseconds>(entry.lastEventAt + refusalPeriod(entry) - now);
     }
     const std::optional<Instant> &trialStart = found->second.trialStartedAt;
-    const bool isTrialRunning = trialStart && now < *trialStart + mBounds.trialTimeout;
+    const bool isTrialRunning = trialStart && now < *trialStart + mLimits.trialTimeout;
     if (isHome && !isTrialRunning) {
         return std::nullopt;
     }
-    return mBounds.retryElsewhere;
+    return mLimits.retryElsewhere;
 }
 
 void Quarantine::noteSent(const RequestDigest &digest, Instant now)
 {
     const auto found = mEntries.find(digest);
-    if (found != mEntries.end() && found->second.entry.lives.size() >= mBounds.crashes) {
+    if (found != mEntries.end() && found->second.entry.lives.size() >= mLimits.crashes) {
         found->second.trialStartedAt = now;
     }
 }
@@ -198,7 +199,7 @@
 bool Quarantine::isHeldBack(const RequestDigest &digest) const
 {
     const QuarantineEntry *entry = find(digest);
-    return entry != nullptr && entry->lives.size() >= mBounds.noRepeatAfter;
+    return entry != nullptr && entry->lives.size() >= mLimits.noRepeatAfter;
 }
 
 const QuarantineEntry *Quarantine::find(const RequestDigest &digest) const
@@ -218,7 +219,7 @@
         ++next;
     }
     if (next == mByRevision.end()) {
-        revision = mRevision; // the last changes may be forgotten, and nobody waits for them
+        revision = mRevision; // entries of later changes were removed and are not sent
     }
     return changed;
 }
--- a/src/libloomjunction/core/quarantine.h
+++ b/src/libloomjunction/core/quarantine.h
@@ -21,85 +21,86 @@
 
 namespace Loom {
 
-/** Bounds of a Quarantine; their reasons stand in the source. */
+/** Limits of a Quarantine. The source states the reasons for them. */
 struct QuarantineLimits
 {
-    std::size_t crashes = 3; ///< so many replicas end under a request before it is refused
-    std::size_t noRepeatAfter = 2; ///< from so many on, it is not repeated within one call
-    /** Of refusals, the next one after each trial that ended a replica. */
+    std::size_t crashes = 3; ///< number of crashed replicas at which a request is refused
+    std::size_t noRepeatAfter = 2; ///< number of crashes from which on a call does not retry it
+    /** Durations of refusal; each trial that crashes a replica leads to the next one. */
     std::array<Milliseconds, 4> refusalPeriods{Milliseconds(60'000), Milliseconds(600'000),
                                                Milliseconds(3'600'000), Milliseconds(28'800'000)};
-    Milliseconds trialTimeout{10'000}; ///< one that has not ended by then tells nothing
-    Milliseconds retryElsewhere{1'000}; ///< callers that come when another gateway gives the trial
-    Milliseconds crashMemory{600'000}; ///< crashes that are too few are forgotten after it
-    std::size_t maxEntries = 4'096; ///< requests that are remembered
+    Milliseconds trialTimeout{10'000}; ///< after it, a trial without a result permits another one
+    Milliseconds retryElsewhere{1'000}; ///< retry delay while another gateway gives the trial
+    Milliseconds crashMemory{600'000}; ///< after it, too few crashes for a refusal are forgotten
+    std::size_t maxEntries = 4'096; ///< maximum number of remembered requests
 };
 
-/** What is known of one request that replicas ended under. */
+/** Known crashes of replicas that were running one request. */
 struct QuarantineEntry
 {
     RequestDigest digest;
     std::string account;
-    /** Good ends so far; crashes of an earlier epoch count no more. */
+    /** Number of successful runs so far; crashes of earlier epochs no longer count. */
     std::uint32_t epoch = 0;
-    std::set<std::string> lives; ///< of the replicas that ended while they ran it
-    Instant lastEventAt; ///< or the last good end
+    std::set<std::string> lives; ///< incarnations of the replicas that crashed
+    Instant lastEventAt; ///< last crash or successful run
 };
 
-/** What a crash, or news of some, changed. */
+/** Effect of a crash or of a report by another gateway. */
 enum class QuarantineNews : std::uint8_t
 {
     Nothing,
-    Known, ///< there is something to tell others
-    Refused, ///< from now on the request is refused
+    Known, ///< the entry changed and must be sent to other gateways
+    Refused, ///< the request is refused from now on
 };
 
 /**
- * Requests that are refused, since the replicas that ran them ended. Gateways tell each
- * other what they saw; in whatever order and however often news comes, all end up with
- * the same. Owned by the quarantine service.
+ * Requests that are refused because replicas crashed while running them. Gateways send each
+ * other their entries and converge to the same state, in whatever order and however often
+ * the entries arrive. Owned by the quarantine service.
  */
 class Quarantine
 {
 public:
-    explicit Quarantine(QuarantineLimits bounds = {})
-        : mBounds(bounds)
+    explicit Quarantine(QuarantineLimits limits = {})
+        : mLimits(limits)
     {
     }
 
     bool isEmpty() const { return mEntries.empty(); }
     std::size_t size() const { return mEntries.size(); }
 
-    /** The replica life @p life ended while it ran the request. */
+    /** The replica process @p incarnation ended while running the request. */
     QuarantineNews noteCrash(const RequestDigest &digest, const std::string &account,
                              const std::string &incarnation, Instant now);
-    /** It ran to a good end somewhere; true where that clears it of anything. */
+    /** The request ran successfully; returns true if that clears it of earlier crashes. */
     bool noteGoodEnd(const RequestDigest &digest, Instant now);
-    /** What another gateway knows. */
+    /** Merges the entry of another gateway. */
     QuarantineNews merge(const QuarantineEntry &reported, Instant now);
 
     /**
-     * For how long the request is refused yet; nothing: it may run. When its time is over
-     * it gets one trial, at the gateway that is its home.
+     * Remaining time of refusal, or nothing if the request may run. After a refusal the
+     * request gets one trial, which only its home gateway gives.
      */
     std::optional<Milliseconds> refusedFor(const RequestDigest &digest, bool isHome,
                                            Instant now) const;
-    /** It is sent to a replica, which is its trial if it was refused. */
+    /** The request is sent to a replica; that is its trial if it was refused. */
     void noteSent(const RequestDigest &digest, Instant now);
-    /** It may run, but must not be repeated within its call. */
+    /** Whether the request may run, but must not be retried within its call. */
     bool isHeldBack(const RequestDigest &digest) const;
 
     const QuarantineEntry *find(const RequestDigest &digest) const;
-    /** Counts changes. */
+    /** Number of changes so far. */
     std::uint64_t revision() const { return mRevision; }
     /**
-     * Entries that changed after @p revision, oldest change first, @p most of them.
-     * @p revision becomes that of the last one, or of now where none is left.
+     * Returns at most @p maxEntries entries that changed after @p revision, oldest change
+     * first. Sets @p revision to that of the last one, or to the current one if all
+     * changes were returned.
      */
     std::vector<QuarantineEntry> changedSince(std::uint64_t &revision,
                                               std::size_t maxEntries) const;
 
-    /** Forgets what is over; gives the requests. */
+    /** Removes expired entries and returns their digests. */
     std::vector<RequestDigest> sweep(Instant now);
 
 private:
@@ -107,7 +108,7 @@
     {
         QuarantineEntry entry;
         std::uint64_t revision = 0;
-        std::optional<Instant> trialStartedAt; ///< here, and no end of it is known
+        std::optional<Instant> trialStartedAt; ///< start of the last trial that this gateway gave
     };
 
     TrackedRequest &findOrCreate(const RequestDigest &digest, const std::string &account);
@@ -119,7 +120,7 @@
     bool isExpired(const QuarantineEntry &entry, Instant now) const;
     void erase(const RequestDigest &digest);
 
-    QuarantineLimits mBounds;
+    QuarantineLimits mLimits;
     std::map<RequestDigest, TrackedRequest> mEntries;
     std::map<std::uint64_t, RequestDigest> mByRevision;
     std::uint64_t mRevision = 0;
--- a/src/libloomjunction/core/replicaratelimit.cpp
+++ b/src/libloomjunction/core/replicaratelimit.cpp
@@ -29,7 +29,8 @@
     return change(perSecond, now);
 }
 
-// An answer that was begun before the limit was named may come after it.
+// An answer to a request that was sent before the limit was stated may arrive after it, and
+// says nothing about the limit.
 LimitChange ReplicaRateLimit::noteNoLimit(Instant sentAt, Instant now)
 {
     if (!mPerSecond || sentAt <= mHeardAt) {
@@ -38,8 +39,8 @@
     return change(std::nullopt, now);
 }
 
-// What is known already keeps its time: told back and forth it would seem ever newer, and
-// no answer would end it.
+// A known limit keeps its time. Otherwise processes that report it to each other would make
+// it ever newer, and no answer without a limit could remove it.
 LimitChange ReplicaRateLimit::hear(std::optional<double> perSecond, Instant at)
 {
     if (perSecond == mPerSecond || at <= mHeardAt) {
--- a/src/libloomjunction/core/replicaratelimit.h
+++ b/src/libloomjunction/core/replicaratelimit.h
@@ -15,32 +15,32 @@
 
 namespace Loom {
 
-/** What news of a replica's limit changed. */
+/** Effect of a report on the known limit of a replica. */
 enum class LimitChange : std::uint8_t
 {
-    Nothing, ///< known already, or older than what is known
+    Nothing, ///< the report is known already or outdated
     Started,
     Changed,
     Removed,
 };
 
 /**
- * The requests a second that a replica takes from all gateways together, as one process
- * knows them. Of several reports the newest counts, in whatever order they come.
+ * The rate limit that a replica has stated for the requests of all gateways together, as
+ * known to one process. The newest report is valid, regardless of the order of arrival.
  */
 class ReplicaRateLimit
 {
 public:
-    /** Requests a second; nothing: the replica takes what it can. */
+    /** Limit in requests per second, or nothing if the replica stated no limit. */
     std::optional<double> perSecond() const { return mPerSecond; }
-    /** When the answer came that said so, here or at the process that told of it. */
+    /** When the answer with this limit was received, here or at the reporting process. */
     Instant heardAt() const { return mHeardAt; }
 
-    /** An answer that came here @p now named @p perSecond. */
+    /** An answer received @p now stated the limit @p perSecond. */
     LimitChange name(double perSecond, Instant now);
-    /** An answer without a limit came @p now to a request that was sent at @p sentAt. */
+    /** An answer received @p now to a request sent at @p sentAt stated no limit. */
     LimitChange noteNoLimit(Instant sentAt, Instant now);
-    /** Another process heard @p perSecond, or that there is none, at @p at. */
+    /** Another process received @p perSecond, or an answer without a limit, at @p at. */
     LimitChange hear(std::optional<double> perSecond, Instant at);
 
 private:
--- a/src/libloomjunction/core/requestdigest.cpp
+++ b/src/libloomjunction/core/requestdigest.cpp
@@ -16,14 +16,15 @@
 
 namespace {
 
-// 128 bits of SHA-256: nobody can make a second request to order that another's
-// crashes are put down to.
+// 128 bits of SHA-256. Nobody can construct a second request with the digest of another
+// one, to which the crashes of that other request would be attributed.
 constexpr std::size_t sHexLength = 32;
 constexpr std::string_view sHexDigits = "0123456789abcdef";
 
 } // namespace
 
-// Each part is digested alone first, so that no two splits of the same bytes meet.
+// Each part is hashed separately first, so that the same bytes split differently give
+// different digests.
 RequestDigest RequestDigest::of(std::string_view account, std::string_view target,
                                 std::string_view body)
 {
--- a/src/libloomjunction/core/requestdigest.h
+++ b/src/libloomjunction/core/requestdigest.h
@@ -17,8 +17,8 @@
 namespace Loom {
 
 /**
- * Tells whether two attempts ask for the same: the same client account, path with
- * query, and body, whatever ids and deadlines they bear.
+ * Identifies equal requests: two attempts have the same digest if they have the same client
+ * account, path with query, and body. Request ids and deadlines are not included.
  */
 class RequestDigest
 {
@@ -27,10 +27,10 @@
 
     static RequestDigest of(std::string_view account, std::string_view target,
                             std::string_view body);
-    /** Reads what text() gave; the error says what was expected. */
+    /** Parses the result of text(); the error describes the expected format. */
     static tl::expected<RequestDigest, std::string> parse(std::string_view text);
 
-    /** 32 hex digits; empty: none. */
+    /** 32 hexadecimal digits, or empty if there is no digest. */
     const std::string &text() const { return mText; }
     bool isEmpty() const { return mText.empty(); }
 
--- a/src/libloomjunction/core/retrybudget.h
+++ b/src/libloomjunction/core/retrybudget.h
@@ -12,7 +12,7 @@
 
 namespace Loom {
 
-/** Bounds retries to a part of the requests, so that they cannot feed a failure. */
+/** Limits retries to a percentage of the requests, so that they cannot amplify a failure. */
 class RetryBudget
 {
 public:
@@ -23,11 +23,11 @@
 
     void setPercent(std::uint32_t percent) { mPercent = percent; }
     void noteRequest();
-    /** Takes one retry; false when the budget is spent. */
+    /** Consumes one retry; returns false if the budget is exhausted. */
     bool take();
 
 private:
-    // In hundredths of a retry, so that percents add up exactly.
+    // The balance is kept in hundredths of a retry, so that percentages add up exactly.
     static constexpr std::uint32_t sOneRetry = 100;
     static constexpr std::uint32_t sMaxSaved = 20 * sOneRetry;
 
--- a/src/libloomjunction/core/sendpermits.cpp
+++ b/src/libloomjunction/core/sendpermits.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// A replica that takes nothing gets so much, or nobody would learn when that ends.
+// Minimum rate of a replica that accepts nothing. Without any sends nobody would learn when
+// it accepts requests again.
 constexpr double sMinRate = 0.2;
-// What was not asked for is kept for this long: callers come in bunches.
+// Unused permits accumulate for this long, because requests arrive in bursts.
 constexpr double sBurstSeconds = 0.5;
-// Of the limit, that may be reached over a whole span. What came before the limit was
-// named counts, so that a replica in need rests until its load is near what it takes.
+// Maximum rate over a whole window, relative to the limit. Sends before the limit was set
+// count too, so that an overloaded replica rests until its load is close to the limit.
 constexpr double sWindowRateFactor = 1.25;
 
 double secondsBetween(Instant from, Instant to)
@@ -57,7 +58,8 @@
     }
 }
 
-// Who begins has saved nothing: a process that takes this over grants no second share.
+// The first rate starts with an empty bucket, so that a process that takes over from another
+// one does not grant the accumulated permits a second time.
 void SendPermits::setRate(double perSecond, Instant now)
 {
     mTokens = mRate > 0 ? tokensAt(now) : 0;
--- a/src/libloomjunction/core/sendpermits.h
+++ b/src/libloomjunction/core/sendpermits.h
@@ -15,13 +15,14 @@
 
 namespace Loom {
 
-/** How far back sends count when a limit is named or falls. */
+/** Time for which sends count towards a limit that is set or lowered after them. */
 inline constexpr Milliseconds sSendWindow{4'000};
 
 /**
- * Hands out the sends to one replica that named a limit, for all gateways together. One
- * process keeps it for all; in any span it grants no more than the limit and half a
- * second's worth and one send. Rates in requests a second. Owned by the permit service.
+ * Grants permits for sending to one replica with a rate limit, on behalf of all gateways.
+ * One process keeps it for all of them. Within any window it grants no more than the limit,
+ * a burst of half a second's worth, and one permit. Rates are in requests per second. Owned
+ * by the permit service.
  */
 class SendPermits
 {
@@ -29,11 +30,11 @@
     void setRate(double perSecond, Instant now);
     double rate() const { return mRate; }
 
-    /** A send at @p at that nobody asked a permit for. */
+    /** Counts a send at @p at that was made without a permit. */
     void noteSend(Instant at);
-    /** Until a permit is there; zero: now. */
+    /** Time until the next permit is available; zero if one is available now. */
     Microseconds wait(Instant now) const;
-    /** Takes one; false: none is there. */
+    /** Takes a permit; returns false if none is available. */
     bool take(Instant now);
 
 private:
@@ -45,7 +46,7 @@
     double mRate = 0;
     double mTokens = 0;
     Instant mRefilledAt;
-    std::deque<Instant> mSent; ///< within the last span
+    std::deque<Instant> mSent; ///< sorted; within the last window
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/sharedretrybudget.cpp
+++ b/src/libloomjunction/core/sharedretrybudget.cpp
@@ -15,15 +15,16 @@
 
 namespace {
 
-// Requests of which the other entries know nothing, and requests counted in
-// the window before the one that judges them, must not break the bound.
+// Fraction of the ratio that is used. The rest is a margin for requests that other gateways
+// do not know of, and for requests counted in the window before the one in which their
+// retries count.
 constexpr double sRatioFraction = 0.7;
-// Within a window an entry can spend what it saved and what it earns meanwhile:
-// half each, so that both together are the share.
+// Within a window a gateway can spend both the saved retries and those added meanwhile. Each
+// is limited to half of the share, so that their sum does not exceed it.
 constexpr double sBurstFraction = 0.5;
-// Earned by requests and not spent yet: what is spent in a window may have been
-// earned before it. The parts of the ratio and of the extra that are not used
-// make up for both.
+// Caps of the retries that were earned by requests and not spent yet. A retry may be spent
+// in a later window than it was earned in; the unused fractions of the ratio and of the
+// additional retries are the margin for that.
 constexpr double sMinEarnedCap = 4;
 constexpr double sEarnedCapRatio = 0.2;
 constexpr double sExtraFraction = 0.7;
@@ -41,7 +42,7 @@
 {
     const double seconds = std::chrono::duration<double>(now - mLastRequest).count();
     const double window = std::chrono::duration<double>(mBounds.window).count();
-    // Requests of about one window, those longer ago counting less and less.
+    // Number of requests in about one window, with exponential decay.
     mRecentRequests = mRecentRequests * std::exp(-std::max(0.0, seconds) / window) + 1;
     mLastRequest = now;
     const double cap = sMinEarnedCap + mRecentRequests * mBounds.ratio * sEarnedCapRatio;
--- a/src/libloomjunction/core/sharedretrybudget.h
+++ b/src/libloomjunction/core/sharedretrybudget.h
@@ -14,19 +14,19 @@
 
 namespace Loom {
 
-/** Bounds of the repeats that all entries together may make at one service. */
+/** Limits of the retries that all gateways together may send to one service. */
 struct RetryBounds
 {
-    double ratio = 0.1; ///< repeats allowed for each request
-    double extra = 10; ///< repeats allowed beyond these, in one window
-    Milliseconds window{10'000}; ///< every span of this length counts
+    double ratio = 0.1; ///< retries allowed per request
+    double extra = 10; ///< additional retries allowed in one window
+    Milliseconds window{10'000}; ///< the limits hold in every interval of this length
 };
 
 /**
- * One entry's share of a retry budget that binds all entries together, with
- * nothing to agree on: the extra is divided by the entries that may be alive,
- * and a new life begins with nothing, so that a restart grants no second
- * share within one window. Owned by the gateway, one a service.
+ * Share of one gateway in a retry budget that limits all gateways together, without any
+ * coordination: the additional retries are divided by the number of gateways that may be
+ * alive. A restarted process begins without retries, so that a restart does not grant a
+ * second share within one window. Owned by the gateway, one for each service.
  */
 class SharedRetryBudget
 {
@@ -34,9 +34,9 @@
     SharedRetryBudget(RetryBounds bounds, Instant startedAt);
 
     void setBounds(const RetryBounds &bounds) { mBounds = bounds; }
-    /** A first request for the service. */
+    /** Counts a request for the service that is no retry. */
     void noteRequest(Instant now);
-    /** Takes one repeat; false when the share is spent. @p entries: those that may be alive. */
+    /** Takes one retry; returns false if none is left. @p entries is how many gateways may live. */
     bool take(std::uint32_t entries, Instant now);
     double remaining() const { return mTokens; }
 
--- a/src/libloomjunction/core/tokenbucket.h
+++ b/src/libloomjunction/core/tokenbucket.h
@@ -15,11 +15,11 @@
 
 namespace Loom {
 
-/** A rate limit in bytes. Takers may run it into debt and wait for the rest. */
+/** Token bucket for bytes. It may go into debt, which the caller waits for. */
 class TokenBucket
 {
 public:
-    /** @p bytesPerSecond of zero means no limit. */
+    /** A @p bytesPerSecond of zero means no limit. */
     TokenBucket(double bytesPerSecond, double burstBytes)
         : mRate(bytesPerSecond)
         , mBurst(burstBytes)
@@ -30,7 +30,7 @@
     void setRate(double bytesPerSecond) { mRate = bytesPerSecond; }
     double rate() const { return mRate; }
 
-    /** Takes @p bytes and tells how long to wait before using them. */
+    /** Takes @p bytes and returns how long to wait before using them. */
     Microseconds take(std::uint64_t bytes, Instant now)
     {
         if (mRate <= 0) {
@@ -44,7 +44,7 @@
         return Microseconds(static_cast<std::int64_t>(-mTokens / mRate * 1e6));
     }
 
-    /** Time until the debt is paid; zero when there is none. */
+    /** Time until the debt is refilled; zero if there is none. */
     Microseconds debt(Instant now) { return take(0, now); }
 
 private:
--- a/tests/direct/test_callerwaitestimator.cpp
+++ b/tests/direct/test_callerwaitestimator.cpp
@@ -20,8 +20,9 @@
 
 } // namespace
 
-// Callers of one deployment begin with 0.85 to 1.0 of the longest time. Told by the
-// longest one alone, nearly all of them seemed to come back late, and were served last:
+// Guards against taking first tries for retries. Callers of one deployment start with 0.85
+// to 1.0 of the longest timeout. Compared with the longest one alone, nearly all of them
+// seemed to have waited already, and were served last:
 //   call deadlineMs=5412 waitedBeforeMs=584 patient=true late="came back late" firstMs=160
 BOOST_AUTO_TEST_CASE(first_tries_with_varying_timeouts_count_as_not_waited)
 {
@@ -46,7 +47,7 @@
     for (int call = 0; call < 200; ++call) {
         estimator.note("r", Milliseconds(time(random)), sNoneRefused);
     }
-    // It began with 5,550 ms on average.
+    // The mean initial timeout is 5,550 ms.
     const auto waitedBefore = estimator.waitedBefore("r", Milliseconds(4'550));
     BOOST_TEST(waitedBefore.count() > 900);
     BOOST_TEST(waitedBefore.count() < 1'100);
@@ -64,7 +65,7 @@
     BOOST_TEST(estimator.waitedBefore("short", Milliseconds(1'400)).count() == 100);
 }
 
-// Under overload a third of the requests are second tries.
+// Under overload a third of the requests are retries.
 BOOST_AUTO_TEST_CASE(retries_are_not_mistaken_for_first_tries)
 {
     CallerWaitEstimator estimator;
--- a/tests/direct/test_quarantine.cpp
+++ b/tests/direct/test_quarantine.cpp
@@ -36,7 +36,7 @@
     }
 }
 
-/** Tells @p to all that changed at @p from; true where that was news. */
+/** Merges all entries of @p from into @p to; returns true if that changed any. */
 bool mergeAll(const Quarantine &from, Quarantine &to, Instant now)
 {
     bool hasChanges = false;
@@ -67,7 +67,7 @@
     BOOST_TEST((quarantine.noteCrash(sRequest, "a", "r1@1", at(0)) == QuarantineNews::Known));
     BOOST_TEST((quarantine.noteCrash(sRequest, "a", "r1@1", at(1)) == QuarantineNews::Nothing));
     BOOST_TEST(!quarantine.isHeldBack(sRequest));
-    // The same replica in its next life is another one.
+    // A restarted replica counts as another one.
     BOOST_TEST((quarantine.noteCrash(sRequest, "a", "r1@2", at(2)) == QuarantineNews::Known));
     BOOST_TEST(quarantine.isHeldBack(sRequest));
     BOOST_TEST(!quarantine.refusedFor(sRequest, true, at(3)).has_value());
@@ -91,21 +91,21 @@
 
 BOOST_AUTO_TEST_CASE(successful_run_clears_crashes_that_others_still_report)
 {
-    Quarantine here;
-    Quarantine there;
-    noteThreeCrashes(here, sRequest, at(0));
-    mergeAll(here, there, at(0));
-    BOOST_TEST(there.refusedFor(sRequest, true, at(1)).has_value());
-    BOOST_TEST(here.noteGoodEnd(sRequest, at(2)));
-    BOOST_TEST(!here.refusedFor(sRequest, true, at(2)).has_value());
-    mergeAll(there, here, at(3)); // what was told before
-    BOOST_TEST(!here.refusedFor(sRequest, true, at(3)).has_value());
-    mergeAll(here, there, at(4));
-    BOOST_TEST(!there.refusedFor(sRequest, true, at(4)).has_value());
+    Quarantine local;
+    Quarantine remote;
+    noteThreeCrashes(local, sRequest, at(0));
+    mergeAll(local, remote, at(0));
+    BOOST_TEST(remote.refusedFor(sRequest, true, at(1)).has_value());
+    BOOST_TEST(local.noteGoodEnd(sRequest, at(2)));
+    BOOST_TEST(!local.refusedFor(sRequest, true, at(2)).has_value());
+    mergeAll(remote, local, at(3)); // entries from before the successful run
+    BOOST_TEST(!local.refusedFor(sRequest, true, at(3)).has_value());
+    mergeAll(local, remote, at(4));
+    BOOST_TEST(!remote.refusedFor(sRequest, true, at(4)).has_value());
 }
 
-// Gateways that hear of crashes and good ends in any order, twice, and through each
-// other end up with the same, and then have nothing left to tell.
+// Gateways that learn of crashes and successful runs in any order, repeatedly and through
+// each other, converge to the same entries and then have no changes left to send.
 BOOST_AUTO_TEST_CASE(all_gateways_converge_in_any_order_of_reports)
 {
     for (std::uint32_t seed = 1; seed <= 300; ++seed) {
@@ -114,10 +114,10 @@
         const auto any = [&]() -> Quarantine & { return gateways[random() % gateways.size()]; };
         for (int step = 0; step < 60; ++step) {
             const RequestDigest digest = numbered(static_cast<int>(random() % 3));
-            const std::uint32_t what = random() % 10;
-            if (what < 5) {
+            const std::uint32_t action = random() % 10;
+            if (action < 5) {
                 any().noteCrash(digest, "a", std::to_string(random() % 8), at(step));
-            } else if (what == 5) {
+            } else if (action == 5) {
                 any().noteGoodEnd(digest, at(step));
             } else {
                 mergeAll(any(), any(), at(step));
@@ -148,17 +148,17 @@
 
 BOOST_AUTO_TEST_CASE(flooding_account_evicts_its_own_entries)
 {
-    QuarantineLimits bounds;
-    bounds.maxEntries = 100;
-    Quarantine quarantine(bounds);
+    QuarantineLimits limits;
+    limits.maxEntries = 100;
+    Quarantine quarantine(limits);
     noteThreeCrashes(quarantine, sRequest, at(0));
-    // The oldest that says least is another's.
+    // The oldest entry with the fewest crashes belongs to another account.
     const RequestDigest suspected = numbered(-2);
     quarantine.noteCrash(suspected, "account", "x@1", at(0));
     for (int number = 0; number < 1'000; ++number) {
         quarantine.noteCrash(numbered(number), "flooder", "x@1", at(number));
     }
-    BOOST_TEST(quarantine.size() == bounds.maxEntries);
+    BOOST_TEST(quarantine.size() == limits.maxEntries);
     BOOST_TEST(quarantine.refusedFor(sRequest, true, at(1'000)).has_value());
     BOOST_TEST((quarantine.find(suspected) != nullptr));
     quarantine.noteCrash(numbered(-1), "other", "x@1", at(1'000));
--- a/tests/direct/test_sendpermits.cpp
+++ b/tests/direct/test_sendpermits.cpp
@@ -22,7 +22,7 @@
     return Instant(Milliseconds(10'000 + ms));
 }
 
-// Asks every @p intervalMs from @p fromMs to @p toMs; gives the times of what was granted.
+// Tries to take a permit every @p intervalMs; returns the times of the granted ones.
 std::vector<int> grantedTimes(SendPermits &permits, int fromMs, int toMs, int intervalMs)
 {
     std::vector<int> granted;
@@ -41,7 +41,7 @@
     for (const double rate : {0.3, 2.3, 10.0, 50.0}) {
         SendPermits permits;
         permits.setRate(rate, at(0));
-        // Nobody asks for a while, then everybody does.
+        // A period without requests accumulates permits, then demand exceeds the limit.
         const std::vector<int> granted = grantedTimes(permits, 8'000, 28'000, 3);
         const double window = std::chrono::duration<double>(sSendWindow).count();
         for (const int end : granted) {
@@ -69,7 +69,8 @@
         permits.noteSend(at(ms));
     }
     permits.setRate(2, at(0));
-    // Eleven in a span are one second's worth beyond the limit.
+    // A window allows eleven sends: eight by the limit, a quarter more, and one. The first
+    // permit is therefore granted once all but ten of the earlier sends have left it.
     const std::vector<int> granted = grantedTimes(permits, 0, 6'000, 10);
     BOOST_TEST(granted.front() >= 2'900);
     BOOST_TEST(granted.size() >= 6U);
--- a/tests/direct/test_sharedretrybudget.cpp
+++ b/tests/direct/test_sharedretrybudget.cpp
@@ -19,7 +19,7 @@
 
 const RetryBounds sBounds{0.2, 100, Milliseconds(10'000)};
 
-// Takes what it can every 10 ms for a window, and gives the count.
+// Takes all available retries every 10 ms and returns their number.
 int retriesTaken(std::vector<SharedRetryBudget> &gateways, int fromMs, int toMs,
                  int requestsPerStep)
 {
@@ -43,7 +43,7 @@
 {
     for (const int count : {1, 6, 42}) {
         std::vector<SharedRetryBudget> gateways(count, SharedRetryBudget(sBounds, at(0)));
-        // A window of requests without a repeat: all that can be saved is saved.
+        // A window of requests without retries fills the budget.
         for (int time = 50'000; time < 60'000; time += 10) {
             for (SharedRetryBudget &gateway : gateways) {
                 gateway.noteRequest(at(time));
@@ -59,14 +59,14 @@
 
 BOOST_AUTO_TEST_CASE(new_process_starts_without_retries)
 {
-    SharedRetryBudget fresh(sBounds, at(0));
-    BOOST_TEST(!fresh.take(6, at(0)));
-    BOOST_TEST(!fresh.take(6, at(100)));
+    SharedRetryBudget restarted(sBounds, at(0));
+    BOOST_TEST(!restarted.take(6, at(0)));
+    BOOST_TEST(!restarted.take(6, at(100)));
 }
 
 BOOST_AUTO_TEST_CASE(restarts_grant_no_second_share_within_a_window)
 {
-    // Six gateways spend all they saved, die, and spend all that their new lives get.
+    // Six gateways spend all saved retries, restart twice, and spend all that is granted then.
     std::vector<SharedRetryBudget> first(6, SharedRetryBudget(sBounds, at(0)));
     int taken = retriesTaken(first, 60'000, 62'000, 0);
     std::vector<SharedRetryBudget> second(6, SharedRetryBudget(sBounds, at(62'000)));
