--- a/src/libloomjunction/core/compression.cpp
+++ b/src/libloomjunction/core/compression.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// The library's own standard: 400 KB of JSON take some two milliseconds.
+// The library's default level, which compresses 400 KB of JSON in about two milliseconds.
 constexpr int sCompressionLevel = 3;
 
 } // namespace
--- a/src/libloomjunction/core/compression.h
+++ b/src/libloomjunction/core/compression.h
@@ -16,10 +16,13 @@
 
 namespace Loom {
 
-/** @p text, compressed (Zstandard). */
+/** Returns @p text as a Zstandard frame. */
 std::string compressed(std::string_view text);
 
-/** What was compressed; an error for other bytes, or for more than @p most bytes of text. */
+/**
+ * Returns the text of a frame made by compressed(), or an error if @p bytes is no such
+ * frame or its text is longer than @p maxSize bytes.
+ */
 tl::expected<std::string, std::string> decompressed(std::string_view bytes, std::size_t maxSize);
 
 } // namespace Loom
--- a/src/libloomjunction/core/eventsplitter.cpp
+++ b/src/libloomjunction/core/eventsplitter.cpp
@@ -41,7 +41,7 @@
     return std::nullopt;
 }
 
-// Length of the first whole event in @p text, or zero.
+// Returns the length of the first complete event in @p text, or zero.
 std::size_t firstEventSize(std::string_view text)
 {
     const std::size_t lfEnd = text.find(sEventEnd);
--- a/src/libloomjunction/core/eventsplitter.h
+++ b/src/libloomjunction/core/eventsplitter.h
@@ -16,20 +16,20 @@
 
 namespace Loom {
 
-/** One whole event of a text/event-stream, with the blank line that ends it. */
+/** One complete event of a text/event-stream, including the blank line that ends it. */
 struct StreamEvent
 {
     std::string text;
     std::optional<std::uint64_t> id;
 };
 
-/** Cuts the bytes of an event stream into whole events. One run of one stream. */
+/** Splits the bytes of one event stream into complete events. */
 class EventSplitter
 {
 public:
-    /** Takes bytes as they come and gives the events that they complete. */
+    /** Appends received bytes and returns the events that they complete. */
     std::vector<StreamEvent> feed(std::string_view bytes);
-    /** Bytes of an event that is not whole yet. */
+    /** Number of buffered bytes of an incomplete event. */
     std::size_t pending() const { return mPending.size(); }
 
 private:
--- a/src/libloomjunction/core/feedtable.cpp
+++ b/src/libloomjunction/core/feedtable.cpp
@@ -18,7 +18,8 @@
     const auto it = mRecords.find(record.key);
     if (it != mRecords.end()) {
         const FeedRecord &known = it->second;
-        // A full read notices a removal without its own offset.
+        // A full read detects a removal without learning its offset, so a removal also
+        // replaces a record of the same offset.
         const bool isRemoval = known.value && !record.value;
         if (known.offset > record.offset || (known.offset == record.offset && !isRemoval)) {
             return false;
--- a/src/libloomjunction/core/feedtable.h
+++ b/src/libloomjunction/core/feedtable.h
@@ -19,7 +19,7 @@
 
 namespace Loom {
 
-/** One keyed record of a feed; without a value it takes its key away. */
+/** One keyed record of a feed; a record without a value removes its key. */
 struct FeedRecord
 {
     std::string key;
@@ -28,31 +28,31 @@
 };
 
 /**
- * The newest record of every key of one feed, wherever each was learned: from
- * the store, in whatever order its pages came, or from another process. A key
- * never goes back to an older record. Owned by the feed's service.
+ * Keeps the newest record of every key of one feed. Records may come from the store, in any
+ * order of its pages, or from another process; an older record never replaces a newer one.
+ * Owned by the service of the feed.
  */
 class FeedTable
 {
 public:
-    /** Takes @p record; false where one as new is known already. */
+    /** Applies @p record; returns false if the known record is as new. */
     bool apply(const FeedRecord &record);
 
     /**
-     * Takes all pages of a full read. @p end is the feed's end before the
-     * first page: keys that are absent were removed before it. Gives the keys
-     * whose record changed.
+     * Applies a full read of the feed. @p end is the end offset of the feed before the
+     * first page was read; keys missing from @p records were removed before it. Returns
+     * the keys whose record changed.
      */
     std::vector<std::string> applySnapshot(std::span<const FeedRecord> records, std::uint64_t end);
 
-    /** Everything before this offset is known; the next read begins here. */
+    /** Offset at which the next read begins; all records before it are known. */
     std::uint64_t nextOffset() const { return mNextOffset; }
     void setNextOffset(std::uint64_t offset);
     bool isEmpty() const { return mRecords.empty(); }
 
-    /** The record of @p key; null where it is unknown or was removed. */
+    /** Returns the record of @p key, or null if it is unknown or removed. */
     const FeedRecord *find(std::string_view key) const;
-    /** All records, those that removed their key among them. */
+    /** All records, including those of removed keys. */
     const std::map<std::string, FeedRecord, std::less<>> &all() const { return mRecords; }
 
 private:
--- a/src/libloomjunction/core/routetable.cpp
+++ b/src/libloomjunction/core/routetable.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A blank can stand in neither a host nor a path.
+// A space separates the parts, because neither a host nor a path can contain one.
 std::string routeKey(std::string_view host, std::string_view prefix)
 {
     std::string key;
@@ -43,7 +43,7 @@
 
 const Route *RouteTable::match(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so only the slashes of the path can end one.
+    // Prefixes end with a slash, so a prefix can only end at a slash of the path.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
          slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
         const auto it = mRoutes.find(routeKey(host, path.substr(0, slash + 1)));
--- a/src/libloomjunction/core/routetable.h
+++ b/src/libloomjunction/core/routetable.h
@@ -20,21 +20,21 @@
 
 namespace Loom {
 
-/** A service that gets a part of a route's requests. */
+/** A service that receives a weighted part of a route's requests. */
 struct RouteTarget
 {
     std::string service;
     std::uint32_t weight = 1;
 };
 
-/** How often a request of a route may run. */
+/** Whether a request of a route may run more than once. */
 enum class RepeatPolicy : std::uint8_t
 {
-    AtMostOnce, ///< at most once a try
+    AtMostOnce, ///< each try of the caller runs at most once
     Repeatable,
 };
 
-/** One route of the operators' configuration. */
+/** One route of the configuration. */
 struct Route
 {
     std::string name;
@@ -43,50 +43,50 @@
     std::vector<RouteTarget> targets;
     RepeatPolicy repeat = RepeatPolicy::AtMostOnce;
     bool isStream = false;
-    bool isResumable = false; ///< a broken stream may go on at another replica
-    bool isPublic = false; ///< needs no key of a client account
-    Milliseconds timeout{0}; ///< longest time a request may be held
-    Milliseconds goal{0}; ///< time to an answer, or a first event, that counts as good
+    bool isResumable = false; ///< an interrupted stream may continue at another replica
+    bool isPublic = false; ///< requests need no key of a client account
+    Milliseconds timeout{0}; ///< maximum time that a request may take
+    Milliseconds goal{0}; ///< an answer or first event within it counts as good
     Milliseconds pauseGoal{0}; ///< longest pause between events that counts as good
-    std::uint32_t attempts = 1; ///< replicas that one request may be sent to
+    std::uint32_t attempts = 1; ///< maximum number of replicas that a request is sent to
     std::uint32_t priority = 5; ///< zero is the most urgent
 
     bool mayRepeat() const { return repeat == RepeatPolicy::Repeatable || isResumable; }
 };
 
-/** What the operators say of a model engine; times of its passes. */
+/** Configured performance of a model engine. */
 struct EngineProfile
 {
     std::uint32_t slots = 1;
-    double stepMs = 0; ///< one token step of a pass
-    double perSequenceMs = 0; ///< added to a step for each request that writes
-    double contextMsPer1kTokens = 0; ///< added for each 1,000 tokens of its context
-    double prefillTokensPerMs = 0; ///< prompt tokens read; zero: unknown
+    double stepMs = 0; ///< duration of one token step of a pass
+    double perSequenceMs = 0; ///< added to a step for each generating request
+    double contextMsPer1kTokens = 0; ///< added to a step for each 1,000 tokens of context
+    double prefillTokensPerMs = 0; ///< zero if unknown
     std::uint32_t stepsPerPass = 1;
     std::uint64_t kvCacheTokens = 0;
-    double meanPromptTokens = 0; ///< mean tokens of a prompt
-    double meanAnswerTokens = 0; ///< mean tokens of an answer
+    double meanPromptTokens = 0;
+    double meanAnswerTokens = 0;
     std::uint32_t layers = 1;
     std::vector<std::string> models;
 };
 
-/** Where weights come from. */
+/** Origin of model weights. */
 struct OriginConfig
 {
     std::string address; ///< IP:PORT
     double linkMbit = 0;
 };
 
-/** One service of the operators' configuration. */
+/** One service of the configuration. */
 struct ServiceConfig
 {
     std::string name;
-    std::uint32_t maxConnections = 0; ///< of one replica, from all boxes; zero: unknown
+    std::uint32_t maxConnections = 0; ///< of one replica, from all boxes; zero if unknown
     std::optional<EngineProfile> engine;
     std::optional<OriginConfig> origin;
 };
 
-/** What a caller may send. Milliseconds and bytes. */
+/** Limits on the requests of callers. */
 struct RequestLimits
 {
     std::uint32_t headerBytes = 16 * 1024;
@@ -102,28 +102,28 @@
     std::uint32_t priority = 5;
 };
 
-/** A whole configuration as the operators accepted it. */
+/** A complete configuration that was accepted. */
 struct RouteConfig
 {
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<ServiceConfig> services;
-    std::vector<ClientAccount> accounts; ///< empty: no keys are asked for
+    std::vector<ClientAccount> accounts; ///< if empty, requests need no key
     RequestLimits limits;
 };
 
-/** An immutable configuration, indexed for requests. Shared by the requests under way. */
+/** An immutable configuration with indexes for lookup. Shared by the running requests. */
 class RouteTable
 {
 public:
     explicit RouteTable(RouteConfig config);
 
-    /** The route of @p host with the longest prefix of @p path; null where there is none. */
+    /** Returns the route of @p host with the longest prefix of @p path, or null. */
     const Route *match(std::string_view host, std::string_view path) const;
-    /** The account that holds @p key; null where none does. */
+    /** Returns the account that has @p key, or null. */
     const ClientAccount *accountForKey(std::string_view key) const;
     const ServiceConfig *service(std::string_view name) const;
-    /** The service with an origin of weights; null where there is none. */
+    /** Returns the weight origin of the first service that has one, or null. */
     const OriginConfig *origin() const;
 
     const RouteConfig &config() const { return mConfig; }
@@ -131,14 +131,14 @@
 
 private:
     RouteConfig mConfig;
-    std::unordered_map<std::string, const Route *> mRoutes; ///< by host, blank and prefix
+    std::unordered_map<std::string, const Route *> mRoutes; ///< by routeKey() of host and prefix
     std::unordered_map<std::string, const ClientAccount *> mKeys;
     std::unordered_map<std::string, const ServiceConfig *> mServices;
 };
 
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/** Picks a target by weight; @p random is any number. Null on a route without targets. */
+/** Picks a target by weight with the random number @p random; null if there are no targets. */
 const RouteTarget *pickTarget(const Route &route, std::uint64_t random);
 
 } // namespace Loom
--- a/src/libloomjunction/core/upstreamtable.cpp
+++ b/src/libloomjunction/core/upstreamtable.cpp
@@ -17,10 +17,11 @@
 
 namespace {
 
-// A preferred upstream may carry this much more than the mean before the next
-// in rendezvous order is taken (bounded loads).
+// Maximum load of an upstream relative to the mean, beyond which the next one in rendezvous
+// order is used (consistent hashing with bounded loads).
 constexpr double sLoadBound = 1.25;
-// An upstream elsewhere is worth its latency once ours has this much more load.
+// Difference in relative load from which on an upstream of another data centre is worth its
+// higher latency.
 constexpr double sRemotePenalty = 0.15;
 
 double relativeLoad(const Upstream &upstream)
@@ -177,8 +178,8 @@
 const Upstream *UpstreamTable::lessLoadedOfTwo(std::span<const Upstream *const> from,
                                                const RouteQuery &query)
 {
-    // Two choices instead of the very least: reports lag, and the least loaded
-    // one would be overrun by all entries at once.
+    // Power of two choices. Reports lag, so with a global minimum all gateways would send
+    // to the same upstream at once and overload it.
     const std::size_t count = from.size();
     const std::size_t first = query.random % count;
     const std::size_t second
--- a/src/libloomjunction/core/upstreamtable.h
+++ b/src/libloomjunction/core/upstreamtable.h
@@ -21,31 +21,31 @@
 
 namespace Loom {
 
-/** One upstream box as an entry sees it: what its agent said, corrected by our own calls. */
+/** State of one upstream box: the last report of its agent, corrected by this gateway's calls. */
 struct Upstream
 {
     std::string box;
     std::string dataCentre;
     std::string service;
     std::uint64_t incarnation = 0;
-    std::set<std::string, std::less<>> versions; ///< loaded whole, as the agent announced
+    std::set<std::string, std::less<>> versions; ///< completely loaded, according to the agent
     std::uint32_t capacity = 1;
-    std::uint32_t reportedInFlight = 0; ///< of all entries, when the agent last spoke
-    std::uint32_t ownInFlightAtReport = 0; ///< our share of reportedInFlight
+    std::uint32_t reportedInFlight = 0; ///< of all gateways, at the last report
+    std::uint32_t ownInFlightAtReport = 0; ///< calls of this gateway at the last report
     std::uint32_t ownInFlight = 0;
     bool isConnected = false;
-    bool isLeaving = false; ///< final for this incarnation
-    bool isUpstreamAlive = false; ///< the engine or service behind the agent answers
-    bool isListedLeaving = false; ///< the platform's list says so
+    bool isLeaving = false; ///< stays set for this incarnation
+    bool isUpstreamAlive = false; ///< the engine or service of the agent responds
+    bool isListedLeaving = false; ///< the platform lists it as leaving
     Instant lastReportAt;
-    Instant avoidedUntil; ///< after a failure, unless nothing else is left
+    Instant avoidedUntil; ///< after a failure; used only if no other is left
 
-    /** In-flight calls: the lagging report corrected by what we did since. */
+    /** Calls in flight: the last report, corrected by the calls of this gateway since then. */
     std::uint32_t estimatedInFlight() const;
     bool isUsable(Instant now) const;
 };
 
-/** How a request's upstream is chosen. */
+/** Policy by which the upstream of a request is chosen. */
 enum class RoutePolicy : std::uint8_t
 {
     Random,
@@ -53,18 +53,18 @@
     PrefixAffinity
 };
 
-/** What a request needs of an upstream. */
+/** Requirements of a request on its upstream. */
 struct RouteQuery
 {
     std::string_view service;
-    std::string_view version; ///< empty for plain services
-    std::string_view prefix; ///< start of the prompt; empty for none
-    std::string_view dataCentre; ///< of the entry
+    std::string_view version; ///< empty for services without a model
+    std::string_view prefix; ///< start of the prompt, may be empty
+    std::string_view dataCentre; ///< of this gateway
     std::span<const std::string> excluded;
     std::uint64_t random = 0;
 };
 
-/** Statuses an agent pushes; a plain-value twin of the wire message. */
+/** Status report of an agent, decoded from the wire message. */
 struct UpstreamReport
 {
     std::uint64_t incarnation = 0;
@@ -76,8 +76,8 @@
 };
 
 /**
- * All upstreams that this entry may route to, and the choice among them.
- * Owned by the routing service.
+ * All upstreams that this gateway may route to; chooses among them. Owned by the routing
+ * service.
  */
 class UpstreamTable
 {
@@ -89,7 +89,7 @@
 
     void setPolicy(RoutePolicy policy) { mPolicy = policy; }
 
-    /** The platform's list names @p box; creates it where it is new. */
+    /** Updates @p box from the platform's list, or adds it. */
     void updateListed(std::string_view box, std::string_view dataCentre, std::string_view service,
                       bool isLeaving);
     void remove(std::string_view box);
@@ -98,22 +98,22 @@
     void disconnected(std::string_view box);
     void callStarted(std::string_view box);
     void callEnded(std::string_view box);
-    /** Keeps requests away from @p box for a while, e.g. after a cut. */
+    /** Prefers other boxes until @p until, e.g. after a connection to @p box broke. */
     void avoid(std::string_view box, Instant until);
 
-    /** The box to use, or nothing where none fits. */
+    /** Returns the box to use, or nothing if none is eligible. */
     std::optional<std::string> choose(const RouteQuery &query, Instant now) const;
 
     const Upstream *find(std::string_view box) const;
     std::vector<const Upstream *> forService(std::string_view service) const;
     const std::map<std::string, Upstream, std::less<>> &all() const { return mUpstreams; }
 
-    /** Usable upstreams of @p service that hold @p version (any when empty). */
+    /** Number of usable upstreams of @p service that have loaded @p version (any if empty). */
     std::size_t countReady(std::string_view service, std::string_view version, Instant now) const;
     /** Sum of the capacities of the usable upstreams of @p service. */
     std::uint32_t capacity(std::string_view service, Instant now) const;
 
-    /** An agent that is silent for this long gets no new work. */
+    /** An upstream whose agent has not reported for this long gets no new requests. */
     static constexpr Milliseconds sReportTimeout{3'000};
 
 private:
--- a/tests/direct/test_feedtable.cpp
+++ b/tests/direct/test_feedtable.cpp
@@ -42,7 +42,7 @@
     BOOST_TEST(changed.size() == 1U);
     BOOST_TEST(table.find("kept") != nullptr);
     BOOST_TEST(table.find("gone") == nullptr);
-    // Written behind the end of the read: the read cannot know it.
+    // This record was written after the end of the read, which cannot contain it.
     BOOST_TEST(table.find("later") != nullptr);
     BOOST_TEST(table.nextOffset() == 5U);
 }
--- a/tests/routing/test_routing.cpp
+++ b/tests/routing/test_routing.cpp
@@ -63,7 +63,7 @@
     leaving.isLeaving = true;
     table.report("box-0", leaving, at(2));
     BOOST_TEST(!table.choose(query(), at(2)).has_value());
-    // An older report that comes late does not bring it back in this life.
+    // A late older report does not make the same incarnation available again.
     table.report("box-0", report(), at(3));
     BOOST_TEST(!table.choose(query(), at(3)).has_value());
     table.report("box-0", report(2), at(4));
@@ -101,7 +101,7 @@
     }
     BOOST_TEST(table.find("box-0")->estimatedInFlight() == 4u);
     UpstreamReport lagging = report();
-    lagging.inFlight = 6; // ours and two of another entry
+    lagging.inFlight = 6; // four calls of this gateway and two of another one
     table.report("box-0", lagging, at(1));
     table.callStarted("box-0");
     BOOST_TEST(table.find("box-0")->estimatedInFlight() == 7u);
@@ -125,7 +125,7 @@
         table.callStarted(*box);
         ++spread[*box];
     }
-    // One hot prefix alone must not pin one upstream.
+    // A single frequent prefix must not overload its preferred upstream.
     BOOST_TEST(spread[*preferred] <= 14);
 }
 
@@ -137,7 +137,7 @@
         admitted += admission.admit("large", 1, at(1)) ? 0 : 1;
     }
     BOOST_TEST(admitted == 16);
-    // Others were never asked to wait while the large one holds its part.
+    // Other accounts are admitted while the large one holds its share.
     for (int i = 0; i < 4; ++i) {
         BOOST_TEST(!admission.admit("small", 1, at(1)).has_value());
     }
