--- a/src/libloomjunction/core/addressselector.cpp
+++ b/src/libloomjunction/core/addressselector.cpp
@@ -129,8 +129,9 @@
 
 // Unavailable gateways count as well, because they are expected to return. If the callers
 // of one data centre use all gateways, another one that kept its callers local would serve
-// them and a part of the others': with four, two and three gateways, those of the largest
-// data centre got 231 calls each and others 79, and the share of calls in time fell by 0.03.
+// them and a part of the others': with four, two and three gateways, a gateway of the largest
+// data centre got 231 calls while others got 79, and the share of calls answered in time fell
+// by 0.03.
 bool AddressSelector::hasEnoughInEachDataCentre() const
 {
     std::map<std::string_view, std::size_t> sizes;
