--- a/src/libloomjunction/core/requestdigest.cpp
+++ b/src/libloomjunction/core/requestdigest.cpp
@@ -16,29 +16,30 @@
 
 namespace {
 
-// 128 bits of SHA-256: nobody can make a second request to order that another's
-// crashes are put down to.
-constexpr std::size_t sDigits = 32;
+// 128 bits of SHA-256. Nobody can construct a second request with the digest of another
+// one, to which the crashes of that other request would be attributed.
+constexpr std::size_t sHexLength = 32;
 constexpr std::string_view sHexDigits = "0123456789abcdef";
 
 } // namespace
 
-// Each part is digested alone first, so that no two splits of the same bytes meet.
+// Each part is hashed separately first, so that the same bytes split differently give
+// different digests.
 RequestDigest RequestDigest::of(std::string_view account, std::string_view target,
                                 std::string_view body)
 {
     RequestDigest digest;
     digest.mText = sha256Hex(sha256Hex(account) + sha256Hex(target) + sha256Hex(body));
-    digest.mText.resize(sDigits);
+    digest.mText.resize(sHexLength);
     return digest;
 }
 
 tl::expected<RequestDigest, std::string> RequestDigest::parse(std::string_view text)
 {
     const bool isHex
-        = text.size() == sDigits && text.find_first_not_of(sHexDigits) == std::string_view::npos;
+        = text.size() == sHexLength && text.find_first_not_of(sHexDigits) == std::string_view::npos;
     if (!isHex) {
-        return tl::unexpected("expected " + std::to_string(sDigits) + " hex digits");
+        return tl::unexpected("expected " + std::to_string(sHexLength) + " hex digits");
     }
     RequestDigest digest;
     digest.mText = text;
--- a/src/libloomjunction/core/routetable.cpp
+++ b/src/libloomjunction/core/routetable.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A blank can stand in neither a host nor a path.
+// A space separates the parts, because neither a host nor a path can contain one.
 std::string routeKey(std::string_view host, std::string_view prefix)
 {
     std::string key;
@@ -36,14 +36,14 @@
             mKeys.emplace(key, &account);
         }
     }
-    for (const ServiceFigures &service : mConfig.services) {
+    for (const ServiceConfig &service : mConfig.services) {
         mServices.emplace(service.name, &service);
     }
 }
 
 const Route *RouteTable::match(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so only the slashes of the path can end one.
+    // Prefixes end with a slash, so a prefix can only end at a slash of the path.
     for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
          slash = slash == 0 ? std::string_view::npos : path.rfind('/', slash - 1)) {
         const auto it = mRoutes.find(routeKey(host, path.substr(0, slash + 1)));
@@ -54,21 +54,21 @@
     return nullptr;
 }
 
-const ClientAccount *RouteTable::accountOf(std::string_view key) const
+const ClientAccount *RouteTable::accountForKey(std::string_view key) const
 {
     const auto it = mKeys.find(std::string(key));
     return it == mKeys.end() ? nullptr : it->second;
 }
 
-const ServiceFigures *RouteTable::service(std::string_view name) const
+const ServiceConfig *RouteTable::service(std::string_view name) const
 {
     const auto it = mServices.find(std::string(name));
     return it == mServices.end() ? nullptr : it->second;
 }
 
-const OriginFigures *RouteTable::origin() const
+const OriginConfig *RouteTable::origin() const
 {
-    for (const ServiceFigures &service : mConfig.services) {
+    for (const ServiceConfig &service : mConfig.services) {
         if (service.origin) {
             return &*service.origin;
         }
--- a/src/libloomjunction/gateway/addressserver.cpp
+++ b/src/libloomjunction/gateway/addressserver.cpp
@@ -60,21 +60,22 @@
     co_await exchange.respond(std::move(response));
 }
 
-AddressPlace AddressServer::ownAddress() const
+GatewayAddress AddressServer::ownAddress() const
 {
-    AddressPlace place;
+    GatewayAddress place;
     place.callers = endpointText(std::get<GatewaySettings>(mSettings.role).callers);
     place.dataCentre = mSettings.dataCentre;
     place.region = mSettings.region;
-    place.standing = mGateway->isReady() ? GatewayStanding::Heard : GatewayStanding::Out;
+    place.availability
+        = mGateway->isReady() ? GatewayAvailability::Healthy : GatewayAvailability::Unavailable;
     return place;
 }
 
 HttpResponse AddressServer::resolveAddresses(const AddressQuestion &question) const
 {
-    std::vector<AddressPlace> places = mMembers->addressPlaces();
+    std::vector<GatewayAddress> places = mMembers->addressPlaces();
     places.push_back(ownAddress());
-    const AddressChoice choice(mMembers->key(), places, mSettings.losses);
+    const AddressSelector choice(mMembers->key(), places, mSettings.losses);
     const std::vector<std::string> addresses
         = choice.choose({question.dataCentre, question.region});
     if (addresses.empty()) {
--- a/src/libloomjunction/gateway/callstate.h
+++ b/src/libloomjunction/gateway/callstate.h
@@ -48,7 +48,7 @@
     HttpExchange &exchange;
     RouteTablePtr table; ///< current when the request arrived; owns the route and the service
     const Route *route = nullptr;
-    const ServiceFigures *service = nullptr;
+    const ServiceConfig *service = nullptr;
     std::string serviceName;
     CallerFields caller;
     std::string account;
--- a/src/libloomjunction/gateway/gatewayserver.cpp
+++ b/src/libloomjunction/gateway/gatewayserver.cpp
@@ -78,8 +78,8 @@
     HttpLimits limits;
     limits.bodyBytes = configured.bodyBytes;
     limits.headerBytes = configured.headerBytes;
-    limits.header = configured.headerTime;
-    limits.idle = configured.idleTime;
+    limits.header = configured.headerTimeout;
+    limits.idle = configured.idleTimeout;
     mServer->setLimits(limits);
     mMembers->noteChange();
 }
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -83,7 +83,7 @@
 awaitable<std::optional<AttemptOutcome>> ReplicaAttempt::connect()
 {
     const std::uint32_t maxConnections
-        = mCall.service == nullptr ? 0 : mCall.service->connectionCap;
+        = mCall.service == nullptr ? 0 : mCall.service->maxConnections;
     auto link
         = co_await mCall.parts.replicas.link(mChosen.id, mIncarnation.address, maxConnections);
     mWasConnected = link.has_value();
--- a/src/libloomjunction/gateway/weightstagingservice.cpp
+++ b/src/libloomjunction/gateway/weightstagingservice.cpp
@@ -141,7 +141,7 @@
 // Whether the engine is reachable and runs the newest published weights.
 bool WeightStagingService::isUpToDate() const
 {
-    const EngineFigures *engine = engineFigures();
+    const EngineProfile *engine = engineFigures();
     if (!mReport || mIsLoading || engine == nullptr || engine->models.empty()) {
         return false;
     }
@@ -151,7 +151,7 @@
 
 awaitable<bool> WeightStagingService::pollEngine()
 {
-    const EngineFigures *engine = engineFigures();
+    const EngineProfile *engine = engineFigures();
     auto report = co_await mEngine.report(engine == nullptr ? 0 : engine->layers);
     const bool wasReached = mReport.has_value();
     if (wasReached != report.has_value()) {
@@ -205,20 +205,20 @@
            });
 }
 
-const EngineFigures *WeightStagingService::engineFigures() const
+const EngineProfile *WeightStagingService::engineFigures() const
 {
     const RouteTablePtr &table = mConfig->table();
     if (!table) {
         return nullptr;
     }
-    const ServiceFigures *service = table->service(mStagerSettings.service);
+    const ServiceConfig *service = table->service(mStagerSettings.service);
     return service == nullptr || !service->engine ? nullptr : &*service->engine;
 }
 
 std::optional<Tcp::endpoint> WeightStagingService::originEndpoint() const
 {
     const RouteTablePtr &table = mConfig->table();
-    const OriginFigures *figures = table ? table->origin() : nullptr;
+    const OriginConfig *figures = table ? table->origin() : nullptr;
     if (figures == nullptr) {
         return std::nullopt;
     }
@@ -317,7 +317,7 @@
     for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
         boxes.push_back(member.box);
     }
-    const ReloadTurn turn(mSettings.bounds.weightsTime);
+    const ReloadSchedule turn(mSettings.bounds.weightsTime);
     const Instant learnedAt = mConfig->weights().learnedAt(model, version);
     return now()
         >= turn.at(versionKey(model, version), mSettings.box, boxes, learnedAt, mCompleteSince);
@@ -452,7 +452,7 @@
 Microseconds WeightStagingService::originPullInterval(const VersionId &id) const
 {
     const RouteTablePtr &table = mConfig->table();
-    const OriginFigures *figures = table ? table->origin() : nullptr;
+    const OriginConfig *figures = table ? table->origin() : nullptr;
     const StoredVersion *stored = mStore->find(id.digest);
     if (figures == nullptr || figures->linkMbit <= 0 || stored == nullptr) {
         return Microseconds(0);
--- a/src/libloomjunction/gateway/weightstagingservice.h
+++ b/src/libloomjunction/gateway/weightstagingservice.h
@@ -15,7 +15,7 @@
 #include "manifestexchange.h"
 #include "memberservice.h"
 #include "ports.h"
-#include "reloadturn.h"
+#include "reloadschedule.h"
 #include "tokenbucket.h"
 #include "weightfetch.h"
 
@@ -88,7 +88,7 @@
     awaitable<PeerStreamPtr> openPeerStream(std::string box, std::string path);
     std::optional<Tcp::endpoint> originEndpoint() const;
     bool isLinkSlow() const;
-    const EngineFigures *engineFigures() const;
+    const EngineProfile *engineFigures() const;
     std::uint64_t loadedVersion(std::string_view model) const;
     void reportLoad();
 
