--- a/src/libloomjunction/core/answertimes.cpp
+++ b/src/libloomjunction/core/answertiming.cpp
@@ -1,18 +1,18 @@
 /*
- * answertimes.cpp
+ * answertiming.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "answertimes.h"
+#include "answertiming.h"
 
 #include <algorithm>
 
 namespace Loom {
 
-bool AnswerTimes::noteBegun(Instant now)
+bool AnswerTiming::noteStart(Instant now)
 {
     if (mFirst) {
         return false;
@@ -21,7 +21,7 @@
     return true;
 }
 
-void AnswerTimes::noteEvents(Instant now)
+void AnswerTiming::noteEvents(Instant now)
 {
     if (mLastEventAt) {
         const auto pause = std::chrono::duration_cast<Milliseconds>(now - *mLastEventAt);
@@ -30,7 +30,7 @@
     mLastEventAt = now;
 }
 
-std::string_view AnswerTimes::latenessCause(const Route &route, std::uint32_t sends) const
+std::string_view AnswerTiming::latenessCause(const Route &route, std::uint32_t sends) const
 {
     if (!mFirst || route.goal.count() == 0) {
         return "";
--- a/src/libloomjunction/core/answertimes.h
+++ b/src/libloomjunction/core/answertiming.h
@@ -1,5 +1,5 @@
 /*
- * answertimes.h
+ * answertiming.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -21,10 +21,10 @@
  * When the parts of one answer went out to its caller, and whether that was as its route
  * wants it. Lives as long as the call.
  */
-class AnswerTimes
+class AnswerTiming
 {
 public:
-    explicit AnswerTimes(Instant arrived)
+    explicit AnswerTiming(Instant arrived)
         : mArrived(arrived)
     {
     }
@@ -34,7 +34,7 @@
     Milliseconds waitedBefore() const { return mWaitedBefore; }
 
     /** The answer begins; true for the first time. */
-    bool noteBegun(Instant now);
+    bool noteStart(Instant now);
     /** Events go out. */
     void noteEvents(Instant now);
 
--- a/src/libloomjunction/core/callrate.cpp
+++ b/src/libloomjunction/core/callrate.cpp
@@ -17,33 +17,33 @@
 namespace {
 
 // How far back the rate of calls reaches.
-constexpr double sCallsHalfMs = 1'000;
+constexpr double sHalfLifeMs = 1'000;
 // A goal that fewer calls have does not bound the others.
-constexpr double sFairPart = 0.05;
+constexpr double sMinGoalFraction = 0.05;
 
 } // namespace
 
 void CallRate::note(Milliseconds goal, Instant now)
 {
-    const double kept = keptAfter(now - mAt, sCallsHalfMs);
+    const double kept = keptAfter(now - mAt, sHalfLifeMs);
     mCount = mCount * kept + 1;
-    for (auto &[other, count] : mByGoal) {
+    for (auto &[other, count] : mCountByGoal) {
         count *= kept;
     }
-    mByGoal[goal] += 1;
+    mCountByGoal[goal] += 1;
     mAt = now;
 }
 
 double CallRate::perMs(Instant now) const
 {
     // A steady rate r adds up to r x half-life / ln 2.
-    return mCount * keptAfter(now - mAt, sCallsHalfMs) * std::numbers::ln2 / sCallsHalfMs;
+    return mCount * keptAfter(now - mAt, sHalfLifeMs) * std::numbers::ln2 / sHalfLifeMs;
 }
 
 Milliseconds CallRate::shortestGoal() const
 {
-    for (const auto &[goal, count] : mByGoal) {
-        if (goal.count() > 0 && count > mCount * sFairPart) {
+    for (const auto &[goal, count] : mCountByGoal) {
+        if (goal.count() > 0 && count > mCount * sMinGoalFraction) {
             return goal;
         }
     }
--- a/src/libloomjunction/core/callrate.h
+++ b/src/libloomjunction/core/callrate.h
@@ -26,7 +26,7 @@
 
 private:
     double mCount = 0;
-    std::map<Milliseconds, double> mByGoal;
+    std::map<Milliseconds, double> mCountByGoal;
     Instant mAt; ///< of the last call
 };
 
--- a/src/libloomjunction/core/choicerandom.h
+++ b/src/libloomjunction/core/choicerandom.h
@@ -31,7 +31,7 @@
     }
 
     /** From 0 up to 1. */
-    double unit() { return static_cast<double>(next()) / sSteps; }
+    double nextFraction() { return static_cast<double>(next()) / sRange; }
 
     template <class Item> void shuffle(std::vector<Item> &items)
     {
@@ -41,7 +41,7 @@
     }
 
 private:
-    static constexpr double sSteps = 2147483648.0;
+    static constexpr double sRange = 2147483648.0;
 
     std::uint64_t mState;
 };
--- a/src/libloomjunction/core/filllevel.h
+++ b/src/libloomjunction/core/concurrencylimit.h
@@ -1,5 +1,5 @@
 /*
- * filllevel.h
+ * concurrencylimit.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -20,7 +20,7 @@
  * turned away costs the replica for the whole rest, so that it pays to send less than it might
  * take.
  */
-class FillLevel
+class ConcurrencyLimit
 {
 public:
     /** It asked for rest while it held @p held requests, the refused one not counted. */
@@ -31,9 +31,9 @@
     std::optional<double> most(Instant now) const;
 
 private:
-    bool isFull() const { return 2 * mMost >= mSlots; }
+    bool isFull() const { return 2 * mLimit >= mSlots; }
 
-    double mMost = 0; ///< zero: unknown
+    double mLimit = 0; ///< zero: unknown
     double mSlots = 0;
     Instant mLoweredAt;
 };
--- a/src/libloomjunction/core/enginemodel.cpp
+++ b/src/libloomjunction/core/enginemodel.cpp
@@ -15,59 +15,60 @@
 namespace {
 
 // A request comes somewhere within a pass, on average in its middle.
-constexpr double sMiddle = 0.5;
-constexpr double sPerThousand = 1'000;
+constexpr double sMeanPassFraction = 0.5;
+constexpr double sTokensPerK = 1'000;
 
 } // namespace
 
-double EngineModel::pass(double writers) const
+double EngineModel::passMs(double generating) const
 {
-    const double context = (mFigures.usualPrompt + mFigures.usualAnswer / 2) / sPerThousand;
+    const double context = (mFigures.usualPrompt + mFigures.usualAnswer / 2) / sTokensPerK;
     const double perWriter = mFigures.perSequenceMs + mFigures.contextMsPerK * context;
-    return mFigures.stepsPerPass * (mFigures.stepMs + writers * perWriter);
+    return mFigures.stepsPerPass * (mFigures.stepMs + generating * perWriter);
 }
 
-double EngineModel::steadyPass(double writers) const
+double EngineModel::steadyPassMs(double generating) const
 {
     const double events = mFigures.usualAnswer / std::max(mFigures.stepsPerPass, 1U);
-    const double begun = events > 0 ? writers / events : 0;
-    return pass(writers) + begun * read(mFigures.usualPrompt);
+    const double begun = events > 0 ? generating / events : 0;
+    return passMs(generating) + begun * promptReadMs(mFigures.usualPrompt);
 }
 
-double EngineModel::read(double tokens) const
+double EngineModel::promptReadMs(double tokens) const
 {
     return mFigures.readTokensPerMs > 0 ? tokens / mFigures.readTokensPerMs : 0;
 }
 
-double EngineModel::turn() const
+double EngineModel::completionIntervalMs() const
 {
     if (mFigures.slots == 0 || mFigures.stepsPerPass == 0) {
         return 0;
     }
-    const double step = pass(mFigures.slots) / mFigures.stepsPerPass;
-    return read(mFigures.usualPrompt) + mFigures.usualAnswer * step / mFigures.slots;
+    const double step = passMs(mFigures.slots) / mFigures.stepsPerPass;
+    return promptReadMs(mFigures.usualPrompt) + mFigures.usualAnswer * step / mFigures.slots;
 }
 
-double EngineModel::firstEvent(const EngineWork &work, double promptTokens) const
+double EngineModel::firstEventMs(const EngineLoad &work, double promptTokens) const
 {
     const double slots = std::max<std::uint32_t>(mFigures.slots, 1);
-    const double total = work.running + work.unread;
+    const double total = work.running + work.waitingPrompts;
     const double queued = std::max(0.0, total + 1 - slots);
     // Only those that find a slot are read in the next pass.
-    const double readBefore = std::max(0.0, work.unread - queued);
+    const double readBefore = std::max(0.0, work.waitingPrompts - queued);
     const double tokens = promptTokens > 0 ? promptTokens : mFigures.usualPrompt;
-    const double reading = readBefore * read(mFigures.usualPrompt) + read(tokens);
-    const double waiting = queued * turn();
-    const double passes = sMiddle * steadyPass(work.running) + pass(std::min(total + 1, slots));
+    const double reading = readBefore * promptReadMs(mFigures.usualPrompt) + promptReadMs(tokens);
+    const double waiting = queued * completionIntervalMs();
+    const double passes
+        = sMeanPassFraction * steadyPassMs(work.running) + passMs(std::min(total + 1, slots));
     return work.pace * (waiting + passes + reading);
 }
 
-double EngineModel::room(const EngineWork &work, double promptTokens, double limit) const
+double EngineModel::room(const EngineLoad &work, double promptTokens, double limit) const
 {
-    EngineWork with = work;
+    EngineLoad with = work;
     double room = 0;
-    while (room < mFigures.slots && firstEvent(with, promptTokens) <= limit) {
-        with.unread += 1;
+    while (room < mFigures.slots && firstEventMs(with, promptTokens) <= limit) {
+        with.waitingPrompts += 1;
         room += 1;
     }
     return room;
--- a/src/libloomjunction/core/enginemodel.h
+++ b/src/libloomjunction/core/enginemodel.h
@@ -13,10 +13,10 @@
 namespace Loom {
 
 /** What is known of an engine's work at the moment of a choice. */
-struct EngineWork
+struct EngineLoad
 {
     double running = 0; ///< requests that write
-    double unread = 0; ///< requests whose prompts are still to be read
+    double waitingPrompts = 0; ///< requests whose prompts are still to be read
     double pace = 1; ///< above one: slower than its figures say
 };
 
@@ -34,17 +34,17 @@
     }
 
     /** One pass for @p writers, without reading. */
-    double pass(double writers) const;
+    double passMs(double generating) const;
     /** The same with the prompts that are read in it while @p writers come and go. */
-    double steadyPass(double writers) const;
+    double steadyPassMs(double generating) const;
     /** Reading a prompt of @p tokens. */
-    double read(double tokens) const;
+    double promptReadMs(double tokens) const;
     /** Mean time between two ends of requests at a full engine. */
-    double turn() const;
+    double completionIntervalMs() const;
     /** From the arrival of a request to its first event. @p promptTokens: zero for the usual. */
-    double firstEvent(const EngineWork &work, double promptTokens) const;
+    double firstEventMs(const EngineLoad &work, double promptTokens) const;
     /** How many more such requests may come, each with its first event within @p limit. */
-    double room(const EngineWork &work, double promptTokens, double limit) const;
+    double room(const EngineLoad &work, double promptTokens, double limit) const;
 
 private:
     const EngineFigures &mFigures;
--- a/src/libloomjunction/core/claimcount.cpp
+++ b/src/libloomjunction/core/intransitcount.cpp
@@ -1,12 +1,12 @@
 /*
- * claimcount.cpp
+ * intransitcount.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "claimcount.h"
+#include "intransitcount.h"
 
 namespace Loom {
 
@@ -15,21 +15,21 @@
 // From a gateway's word until its request has reached the engine: the way within a
 // data centre, and a new connection at times. Longer would count requests twice,
 // shorter not at all.
-constexpr Milliseconds sOnTheWay{6};
+constexpr Milliseconds sTransitTime{6};
 
 } // namespace
 
-void ClaimCount::note(Instant now)
+void InTransitCount::note(Instant now)
 {
-    mClaims.push_back(now);
+    mSentTimes.push_back(now);
 }
 
-std::uint32_t ClaimCount::unseenBy(Instant lookedAt)
+std::uint32_t InTransitCount::notVisibleAt(Instant lookedAt)
 {
-    while (!mClaims.empty() && mClaims.front() + sOnTheWay <= lookedAt) {
-        mClaims.pop_front();
+    while (!mSentTimes.empty() && mSentTimes.front() + sTransitTime <= lookedAt) {
+        mSentTimes.pop_front();
     }
-    return static_cast<std::uint32_t>(mClaims.size());
+    return static_cast<std::uint32_t>(mSentTimes.size());
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/claimcount.h
+++ b/src/libloomjunction/core/intransitcount.h
@@ -1,5 +1,5 @@
 /*
- * claimcount.h
+ * intransitcount.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -21,16 +21,16 @@
  * turns free is seen by every gateway that asks within the next milliseconds,
  * and all but one of their requests would wait a turn.
  */
-class ClaimCount
+class InTransitCount
 {
 public:
     /** A gateway is sending a request. */
     void note(Instant now);
     /** Those that a look at the engine at @p lookedAt does not show. */
-    std::uint32_t unseenBy(Instant lookedAt);
+    std::uint32_t notVisibleAt(Instant lookedAt);
 
 private:
-    std::deque<Instant> mClaims; ///< oldest first
+    std::deque<Instant> mSentTimes; ///< oldest first
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/lifenotices.h
+++ b/src/libloomjunction/core/noticestate.h
@@ -1,5 +1,5 @@
 /*
- * lifenotices.h
+ * noticestate.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -28,30 +28,30 @@
 /** What a notice changed. */
 struct NoticeChange
 {
-    bool hasBegunToLeave = false;
-    bool isRestLonger = false;
+    bool hasStartedLeaving = false;
+    bool isRestExtended = false;
 };
 
 /**
  * What one life of a replica told this gateway in its answers. Leaving is final; a rest ends
  * by its time. Nothing that others say of the replica takes either back.
  */
-class LifeNotices
+class NoticeState
 {
 public:
     /** An answer that came @p now. */
     NoticeChange hear(const ReplicaNotice &notice, Instant now);
 
     bool isLeaving() const { return mIsLeaving; }
-    bool isResting(Instant now) const { return mRestsUntil > now; }
+    bool isResting(Instant now) const { return mRestingUntil > now; }
     /** End of the longest rest that was asked for; zero: none was. */
-    Instant restsUntil() const { return mRestsUntil; }
+    Instant restingUntil() const { return mRestingUntil; }
     /** Whether it holds anything back at @p now. */
-    bool isInForce(Instant now) const { return mIsLeaving || isResting(now); }
+    bool isActive(Instant now) const { return mIsLeaving || isResting(now); }
 
 private:
     bool mIsLeaving = false;
-    Instant mRestsUntil;
+    Instant mRestingUntil;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/openquestions.h
+++ b/src/libloomjunction/core/pendingqueries.h
@@ -1,5 +1,5 @@
 /*
- * openquestions.h
+ * pendingqueries.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -20,26 +20,26 @@
  * Whatever the other says after it heard a question was said after the question was
  * sent, by this process's own clock: no clock in common is needed.
  */
-class OpenQuestions
+class PendingQueries
 {
 public:
     /** @p opened: when the first question, which opens the stream, was sent. */
-    explicit OpenQuestions(Instant opened)
-        : mOpen{opened}
-        , mHeard(opened)
+    explicit PendingQueries(Instant opened)
+        : mUnanswered{opened}
+        , mLastAnsweredSentAt(opened)
     {
     }
 
     /** A question leaves @p now. */
-    void ask(Instant now) { mOpen.push_back(now); }
+    void ask(Instant now) { mUnanswered.push_back(now); }
     /** An answer came: it was said no earlier than this; nothing: nobody asked. */
     std::optional<Instant> answered();
     /** Whatever came unasked after the last answer was said no earlier than this. */
-    Instant heard() const { return mHeard; }
+    Instant heard() const { return mLastAnsweredSentAt; }
 
 private:
-    std::deque<Instant> mOpen; ///< when each was sent
-    Instant mHeard; ///< when the last was sent that the other is known to have heard
+    std::deque<Instant> mUnanswered; ///< when each was sent
+    Instant mLastAnsweredSentAt; ///< when the last was sent that the other is known to have heard
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/askedchoice.h
+++ b/src/libloomjunction/core/probedchoice.h
@@ -1,5 +1,5 @@
 /*
- * askedchoice.h
+ * probedchoice.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "askplan.h"
+#include "probeplan.h"
 #include "replicaset.h"
 
 #include <span>
@@ -25,22 +25,22 @@
  * something every few seconds only. What others sent it meanwhile is not to be
  * known any other way than by asking.
  */
-class AskedChoice
+class ProbedChoice
 {
 public:
     /** @p query views data that outlives this; @p silent: ids that need not be asked. */
-    AskedChoice(const ReplicaSet &replicas, const ReplicaQuery &query,
-                std::vector<std::string> silent);
-    AskedChoice(const AskedChoice &) = delete;
-    AskedChoice &operator=(const AskedChoice &) = delete;
+    ProbedChoice(const ReplicaSet &replicas, const ReplicaQuery &query,
+                 std::vector<std::string> silent);
+    ProbedChoice(const ProbedChoice &) = delete;
+    ProbedChoice &operator=(const ProbedChoice &) = delete;
 
     /** No further question would help: choice() stands. */
     bool isDone() const { return mIsDone; }
     /** Whom to ask now; may be nobody. decide() must follow. */
-    std::vector<const Replica *> toAsk(Instant now);
+    std::vector<const Replica *> replicasToProbe(Instant now);
     /** All that were asked so far. */
     std::span<const std::string> asked() const { return mAsked; }
-    /** Those of asked() that have answered by now; @p took: since the first toAsk(). */
+    /** Those of asked() that have answered by now; @p took: since the first replicasToProbe(). */
     void decide(std::vector<std::string> answered, Microseconds took, Instant now);
     const ReplicaChoice &choice() const { return mChoice; }
 
@@ -50,10 +50,10 @@
     const ReplicaSet &mReplicas;
     ReplicaQuery mQuery;
     const Milliseconds mWaitedBefore;
-    std::vector<std::string> mNotAsked; ///< silent ones, and those tried before
+    std::vector<std::string> mExcluded; ///< silent ones, and those tried before
     std::vector<std::string> mAsked;
     std::vector<std::string> mAnswered;
-    AskRound mRound = AskRound::Near;
+    ProbeRound mRound = ProbeRound::Local;
     ReplicaChoice mChoice = NoneUsable{};
     bool mIsDone = false;
 };
--- a/src/libloomjunction/core/askplan.h
+++ b/src/libloomjunction/core/probeplan.h
@@ -1,5 +1,5 @@
 /*
- * askplan.h
+ * probeplan.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -9,7 +9,7 @@
 #pragma once
 
 #include "replica.h"
-#include "replicaoffer.h"
+#include "replicaestimate.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -21,11 +21,11 @@
 namespace Loom {
 
 /** How far a gateway looks for a replica, one step after the other. */
-enum class AskRound : std::uint8_t
+enum class ProbeRound : std::uint8_t
 {
-    Near, ///< a few neighbours in its own data centre
-    Neighbours, ///< more of all neighbours
-    Anyone, ///< a few of all replicas
+    Local, ///< a few neighbours in its own data centre
+    Subset, ///< more of all neighbours
+    Any, ///< a few of all replicas
 };
 
 /**
@@ -33,11 +33,11 @@
  * before it sends a request. What a gateway and an agent have to do for it grows
  * with the requests that come to them, not with the size of the whole.
  */
-class AskPlan
+class ProbePlan
 {
 public:
     /** @p entry: the gateway's own key. Two gateways use different neighbours. */
-    AskPlan(std::string_view entry, const ReplicaQuery &query, Instant now)
+    ProbePlan(std::string_view entry, const ReplicaQuery &query, Instant now)
         : mEntry(entry)
         , mQuery(query)
         , mNow(now)
@@ -45,14 +45,14 @@
     }
 
     /** Those of @p usable that this gateway keeps links to. */
-    std::vector<const Replica *> neighbours(std::span<const Replica *const> usable) const;
+    std::vector<const Replica *> subset(std::span<const Replica *const> usable) const;
     /** Whom to ask in @p round, of @p usable, without those in @p asked. */
-    std::vector<const Replica *> choose(AskRound round, std::span<const Replica *const> usable,
+    std::vector<const Replica *> choose(ProbeRound round, std::span<const Replica *const> usable,
                                         std::span<const std::string> asked) const;
 
 private:
-    void appendHeaviest(std::vector<const Replica *> pool, std::size_t most,
-                        std::vector<const Replica *> &chosen) const;
+    void appendHighestWeights(std::vector<const Replica *> pool, std::size_t most,
+                              std::vector<const Replica *> &chosen) const;
     bool isPromising(const Replica &replica) const;
 
     std::string_view mEntry;
--- a/src/libloomjunction/core/refusalshare.h
+++ b/src/libloomjunction/core/refusalratio.h
@@ -1,5 +1,5 @@
 /*
- * refusalshare.h
+ * refusalratio.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -16,13 +16,13 @@
  * Of the calls that could have been answered within their goals, the share that found
  * no room of late. It tells whether a place that turns free is wanted by somebody.
  */
-class RefusalShare
+class RefusalRatio
 {
 public:
     /** A call came that could still be in time; @p hasRoom: it was given a place. */
     void note(bool hasRoom, Instant now);
     /** From 0 to 1. */
-    double share(Instant now) const;
+    double ratio(Instant now) const;
 
 private:
     double mCalls = 0;
--- a/src/libloomjunction/core/replica.cpp
+++ b/src/libloomjunction/core/replica.cpp
@@ -12,49 +12,49 @@
 
 namespace Loom {
 
-std::string_view heldBackName(HeldBack held)
+std::string_view unavailableReasonName(UnavailableReason held)
 {
     switch (held) {
-    case HeldBack::Nothing:
+    case UnavailableReason::Nothing:
         return "";
-    case HeldBack::Gone:
+    case UnavailableReason::Gone:
         return "gone";
-    case HeldBack::Draining:
+    case UnavailableReason::Draining:
         return "draining";
-    case HeldBack::Leaving:
+    case UnavailableReason::Leaving:
         return "leaving";
-    case HeldBack::Resting:
+    case UnavailableReason::Resting:
         return "resting";
     }
     return "";
 }
 
-HeldBack Replica::heldBack(Instant now) const
+UnavailableReason Replica::unavailableReason(Instant now) const
 {
     if (record.isDraining) {
-        return HeldBack::Draining;
+        return UnavailableReason::Draining;
     }
-    if (goneAt != Instant() && goneAt <= now) {
-        return HeldBack::Gone;
+    if (removedAt != Instant() && removedAt <= now) {
+        return UnavailableReason::Gone;
     }
     if (notices.isLeaving()) {
-        return HeldBack::Leaving;
+        return UnavailableReason::Leaving;
     }
-    return notices.isResting(now) ? HeldBack::Resting : HeldBack::Nothing;
+    return notices.isResting(now) ? UnavailableReason::Resting : UnavailableReason::Nothing;
 }
 
-double Replica::held() const
+double Replica::heldRequests() const
 {
     if (!load) {
         return inFlight;
     }
-    return static_cast<double>(load->running) + load->waiting + startedSince;
+    return static_cast<double>(load->running) + load->waiting + startedSinceReport;
 }
 
-Instant Replica::opensAt(Instant now) const
+Instant Replica::availableAt(Instant now) const
 {
-    const Instant rested = notices.isResting(now) ? notices.restsUntil() : Instant();
-    return std::max(rested, isHeldUp(now) ? noPermitUntil : Instant());
+    const Instant rested = notices.isResting(now) ? notices.restingUntil() : Instant();
+    return std::max(rested, isRateLimited(now) ? rateLimitedUntil : Instant());
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/replica.h
+++ b/src/libloomjunction/core/replica.h
@@ -8,10 +8,10 @@
 
 #pragma once
 
-#include "filllevel.h"
+#include "concurrencylimit.h"
 #include "instant.h"
-#include "lifenotices.h"
 #include "namedlimit.h"
+#include "noticestate.h"
 
 #include <cstdint>
 #include <deque>
@@ -23,7 +23,7 @@
 namespace Loom {
 
 /** Stands between a replica's id and the start of one of its lives. */
-inline constexpr char sLifeMark = '@';
+inline constexpr char sIncarnationSeparator = '@';
 
 /** What a replica says of itself in the store. */
 struct ReplicaRecord
@@ -40,14 +40,20 @@
     std::uint64_t weightsVersion = 0;
 
     /** Tells this life from others in what processes tell each other. */
-    std::string life() const { return id + sLifeMark + std::to_string(born); }
+    std::string incarnation() const { return id + sIncarnationSeparator + std::to_string(born); }
 
     /** Tells of the life that began at @p start. What was told without a start may be of any. */
-    bool isOfLife(std::uint64_t start) const { return born == 0 || start == 0 || born == start; }
-    bool isOtherLife(const ReplicaRecord &other) const { return !isOfLife(other.born); }
+    bool isSameIncarnation(std::uint64_t start) const
+    {
+        return born == 0 || start == 0 || born == start;
+    }
+    bool isOtherIncarnation(const ReplicaRecord &other) const
+    {
+        return !isSameIncarnation(other.born);
+    }
 
     /** The same but for its place in the store. */
-    bool isLike(const ReplicaRecord &other) const
+    bool hasSameContent(const ReplicaRecord &other) const
     {
         return id == other.id && born == other.born && service == other.service
             && address == other.address && dataCentre == other.dataCentre && slots == other.slots
@@ -56,9 +62,9 @@
 };
 
 /** What another process knows of a replica's limit. */
-struct ToldLimit
+struct ReportedLimit
 {
-    std::string life; ///< of the replica, see ReplicaRecord::life()
+    std::string incarnation; ///< of the replica, see ReplicaRecord::life()
     std::optional<double> perSecond; ///< nothing: it named none any more
     Instant heardAt; ///< the answer that said so
     Microseconds wait{0}; ///< until a request may be sent under it
@@ -66,7 +72,7 @@
     /** Id of the replica. */
     std::string_view replica() const
     {
-        return std::string_view(life).substr(0, life.rfind(sLifeMark));
+        return std::string_view(incarnation).substr(0, incarnation.rfind(sIncarnationSeparator));
     }
 };
 
@@ -83,10 +89,10 @@
     bool isLinkSlow = false; ///< what is sent to its box may arrive late
     bool isAccepting = true; ///< false while it loads weights or leaves
     /** Requests on their way are counted as waiting, those of this entry among them. */
-    bool hasClaims = false;
+    bool includesInTransit = false;
     /** From the question until this answer to it was here; zero: it was not asked for. */
-    Microseconds took{0};
-    std::optional<ToldLimit> limit; ///< nothing: the agent knows of none
+    Microseconds roundTrip{0};
+    std::optional<ReportedLimit> limit; ///< nothing: the agent knows of none
 };
 
 /** How a request that was sent to a replica ended, for the choice of later ones. */
@@ -101,7 +107,7 @@
 };
 
 /** Why nothing may be sent to a replica, whatever its load and weights are. */
-enum class HeldBack : std::uint8_t
+enum class UnavailableReason : std::uint8_t
 {
     Nothing, ///< it may be sent to
     Gone, ///< the store took its record away, or another life has its address
@@ -109,7 +115,7 @@
     Leaving, ///< by its own answers
     Resting, ///< it asked for it, and takes requests again later
 };
-std::string_view heldBackName(HeldBack held);
+std::string_view unavailableReasonName(UnavailableReason held);
 
 /** One replica as this entry sees it. */
 struct Replica
@@ -118,33 +124,33 @@
     std::uint32_t inFlight = 0; ///< sent by this entry and not ended
     std::optional<ReplicaLoad> load; ///< what its agent said last
     Instant loadAt;
-    double reportGapMs = 0; ///< smoothed time between two reports of its agent
-    std::uint32_t startedSince = 0; ///< by this entry, that the agent cannot have counted
-    std::vector<Instant> startedLately; ///< times of those, and of some before
-    std::uint32_t endedSince = 0; ///< of those, and of earlier ones
-    std::uint32_t awaiting = 0; ///< sent by this entry, without a first byte of an answer
+    double reportIntervalMs = 0; ///< smoothed time between two reports of its agent
+    std::uint32_t startedSinceReport = 0; ///< by this entry, that the agent cannot have counted
+    std::vector<Instant> recentStarts; ///< times of those, and of some before
+    std::uint32_t endedSinceReport = 0; ///< of those, and of earlier ones
+    std::uint32_t awaitingFirstByte = 0; ///< sent by this entry, without a first byte of an answer
     std::uint32_t patientWaiting = 0; ///< of those: sent as patient
     Instant avoidedUntil;
     std::uint32_t failures = 0; ///< in a row
     double failureRate = 0; ///< smoothed share of requests that failed
     double answerMs = 0; ///< smoothed time to an answer or a first event
-    LifeNotices notices;
-    FillLevel fillLevel;
+    NoticeState notices;
+    ConcurrencyLimit concurrencyLimit;
     NamedLimit limit;
-    Instant noPermitUntil; ///< under that limit
-    std::deque<Instant> sentLately; ///< by this entry, within the span that permits count
-    Instant goneAt; ///< the store took its record away; zero: it did not
+    Instant rateLimitedUntil; ///< under that limit
+    std::deque<Instant> recentSends; ///< by this entry, within the span that permits count
+    Instant removedAt; ///< the store took its record away; zero: it did not
 
     /** The one word on whether a request may be sent to it at @p now. */
-    HeldBack heldBack(Instant now) const;
+    UnavailableReason unavailableReason(Instant now) const;
 
     /** It named a limit, and no send to it is left at @p now. */
-    bool isHeldUp(Instant now) const { return limit.perSecond() && noPermitUntil > now; }
+    bool isRateLimited(Instant now) const { return limit.perSecond() && rateLimitedUntil > now; }
     /** When a replica that rests or is held up by its limit may be sent to; zero: now. */
-    Instant opensAt(Instant now) const;
+    Instant availableAt(Instant now) const;
 
     /** Requests of all gateways that it holds, as far as its agent told; else of this one. */
-    double held() const;
+    double heldRequests() const;
 
     /** Of the weights loaded now: the agent knows sooner than the store. */
     std::uint64_t weightsVersion() const
--- a/src/libloomjunction/core/replicaset.cpp
+++ b/src/libloomjunction/core/replicaset.cpp
@@ -9,9 +9,9 @@
 #include "replicaset.h"
 
 #include "choicerandom.h"
-#include "comeback.h"
-#include "levelling.h"
+#include "retryadvice.h"
 #include "sendpermits.h"
+#include "waterfill.h"
 
 #include <algorithm>
 
@@ -20,36 +20,36 @@
 namespace {
 
 // After a refusal, and after a failure in a row, doubled with each up to the most.
-constexpr Milliseconds sRefusalPause{100};
-constexpr Milliseconds sFailurePause{250};
-constexpr Milliseconds sMostPause{4'000};
+constexpr Milliseconds sRefusalBackoff{100};
+constexpr Milliseconds sMinFailureBackoff{250};
+constexpr Milliseconds sMaxFailureBackoff{4'000};
 // A replica whose record lapsed while the store was away may come back within
 // two seconds of the store's return. One that leaves for good must get nothing
 // after its draining time, whatever the store did before: this much earlier
 // its use ends.
 constexpr Milliseconds sDrainMargin{500};
-constexpr double sSmoothing = 0.15;
+constexpr double sSmoothingWeight = 0.15;
 // Replicas looked at for one request: enough to level their loads, and so few
 // that a choice costs the same among thousands.
-constexpr std::size_t sSample = 16;
+constexpr std::size_t sMaxExamined = 16;
 // From the look at an engine until its report is read here, and a request's way
 // there: what was sent in this time before a report is not counted in it.
 constexpr Milliseconds sReportLag{15};
 // Reports are taken to come at least this often, before any gap was seen.
-constexpr double sUsualGapMs = 100;
+constexpr double sDefaultReportIntervalMs = 100;
 // The least that is spread, so that the best replica gets nearly all.
-constexpr double sLeastLevelled = 0.01;
+constexpr double sMinExpectedCalls = 0.01;
 // Of the calls that could be in time, refused of late: more is no bad luck of the few
 // replicas that one call looks at.
-constexpr double sShortShare = 0.05;
+constexpr double sOverloadRefusalRatio = 0.05;
 // Parts the draws of the choice from those of the sample; any number does.
-constexpr std::uint64_t sOtherDraws = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t sSelectionSeedMask = 0x9e3779b97f4a7c15ULL;
 
 } // namespace
 
 // A replica that starts again keeps its address and takes a new id. The record
 // of its earlier life stays in the store until it has been silent for a while.
-void ReplicaSet::retireEarlierLives(const ReplicaRecord &record, Instant now)
+void ReplicaSet::retireEarlierIncarnations(const ReplicaRecord &record, Instant now)
 {
     for (auto &[id, other] : mReplicas) {
         const bool isSameAddress = id != record.id && other.record.address == record.address;
@@ -58,7 +58,7 @@
         }
         if (other.record.offset < record.offset) {
             replaced(id, now);
-        } else if (other.goneAt == Instant()) {
+        } else if (other.removedAt == Instant()) {
             replaced(record.id, now);
         }
     }
@@ -67,8 +67,9 @@
 void ReplicaSet::replaced(std::string_view id, Instant now)
 {
     const auto it = mReplicas.find(id);
-    if (it != mReplicas.end() && (it->second.goneAt == Instant() || it->second.goneAt > now)) {
-        it->second.goneAt = now;
+    if (it != mReplicas.end()
+        && (it->second.removedAt == Instant() || it->second.removedAt > now)) {
+        it->second.removedAt = now;
     }
 }
 
@@ -78,13 +79,13 @@
     Replica &replica = it->second;
     // What was known of an earlier life holds no more: its weights, its load, that it
     // was leaving. Kept, a replica that drained and came back would stand empty for good.
-    const bool isOther = record.isOtherLife(replica.record);
+    const bool isOther = record.isOtherIncarnation(replica.record);
     if (isOther) {
         keepNotices(replica, now);
         replica = Replica();
     }
     if (isNew || isOther) {
-        replica.notices = mKept.take(record.id, record.born);
+        replica.notices = mRetained.take(record.id, record.born);
     }
     const bool wasDraining = replica.record.isDraining;
     // Within one life versions only rise: one that is new in the record is newer
@@ -96,8 +97,8 @@
     }
     replica.record = record;
     replica.record.isDraining = record.isDraining || wasDraining;
-    replica.goneAt = Instant();
-    retireEarlierLives(record, now);
+    replica.removedAt = Instant();
+    retireEarlierIncarnations(record, now);
 }
 
 void ReplicaSet::unreadable(std::string_view id, Instant now)
@@ -115,8 +116,8 @@
     const Instant end = trusted ? now : std::max(now, now - age + grace);
     // Of several removals the strictest counts: a certain one ends the time that a
     // doubtful one before it gave.
-    Instant &goneAt = it->second.goneAt;
-    goneAt = goneAt == Instant() ? end : std::min(goneAt, end);
+    Instant &removedAt = it->second.removedAt;
+    removedAt = removedAt == Instant() ? end : std::min(removedAt, end);
 }
 
 void ReplicaSet::report(std::string_view address, const ReplicaLoad &load, Instant now)
@@ -124,28 +125,28 @@
     for (auto &[id, replica] : mReplicas) {
         if (replica.record.address == address) {
             if (replica.load && load.weightsVersion > replica.load->weightsVersion) {
-                forgiveLoad(replica, now);
+                forgiveReloadFailures(replica, now);
             }
             if (replica.load) {
                 const double gap
                     = std::chrono::duration<double, std::milli>(now - replica.loadAt).count();
-                replica.reportGapMs
-                    += (replica.reportGapMs == 0 ? 1.0 : sSmoothing) * (gap - replica.reportGapMs);
+                replica.reportIntervalMs += (replica.reportIntervalMs == 0 ? 1.0 : sSmoothingWeight)
+                    * (gap - replica.reportIntervalMs);
             }
             replica.load = load;
             replica.loadAt = now;
-            std::erase_if(replica.startedLately, [&](Instant began) {
-                return load.hasClaims || began < now - sReportLag;
+            std::erase_if(replica.recentStarts, [&](Instant began) {
+                return load.includesInTransit || began < now - sReportLag;
             });
-            replica.startedSince = static_cast<std::uint32_t>(replica.startedLately.size());
-            replica.endedSince = 0;
+            replica.startedSinceReport = static_cast<std::uint32_t>(replica.recentStarts.size());
+            replica.endedSinceReport = 0;
         }
     }
 }
 
 // Streams that a load of weights cuts say nothing of the replica, and there may be as many
 // as it has slots, each of which counts as a failure and doubles the time it is avoided.
-void ReplicaSet::forgiveLoad(Replica &replica, Instant now)
+void ReplicaSet::forgiveReloadFailures(Replica &replica, Instant now)
 {
     replica.failures = 0;
     replica.avoidedUntil = std::min(replica.avoidedUntil, now);
@@ -165,7 +166,7 @@
     mCalls.try_emplace(std::string(service)).first->second.note(goal, now);
 }
 
-double ReplicaSet::fastestAnswerMs(const OfferEstimator &estimator) const
+double ReplicaSet::minAnswerMs(const ReplicaEstimator &estimator) const
 {
     double fastest = 0;
     for (const auto &[id, replica] : mReplicas) {
@@ -178,40 +179,42 @@
 }
 
 // Whether it belongs to the service and takes requests, now or after a rest.
-bool ReplicaSet::mayBeUsed(const Replica &replica, const ReplicaQuery &query, Instant now)
+bool ReplicaSet::isCandidate(const Replica &replica, const ReplicaQuery &query, Instant now)
 {
-    const HeldBack held = replica.heldBack(now);
-    const bool isOpen = held == HeldBack::Nothing || held == HeldBack::Resting;
-    return replica.record.service == query.service && isOpen;
+    const UnavailableReason held = replica.unavailableReason(now);
+    const bool acceptsLate
+        = held == UnavailableReason::Nothing || held == UnavailableReason::Resting;
+    return replica.record.service == query.service && acceptsLate;
 }
 
-std::vector<const Replica *> ReplicaSet::leftFor(const ReplicaQuery &query, Instant now) const
+std::vector<const Replica *> ReplicaSet::candidatesFor(const ReplicaQuery &query, Instant now) const
 {
     std::vector<const Replica *> left;
     for (const auto &[id, replica] : mReplicas) {
-        if (mayBeUsed(replica, query, now)) {
+        if (isCandidate(replica, query, now)) {
             left.push_back(&replica);
         }
     }
     return left;
 }
 
-std::vector<const Replica *> ReplicaSet::neighbours(const ReplicaQuery &query, Instant now) const
+std::vector<const Replica *> ReplicaSet::subset(const ReplicaQuery &query, Instant now) const
 {
-    return AskPlan(mEntry, query, now).neighbours(leftFor(query, now));
+    return ProbePlan(mEntry, query, now).subset(candidatesFor(query, now));
 }
 
-std::vector<const Replica *> ReplicaSet::toAsk(const ReplicaQuery &query, AskRound round,
-                                               std::span<const std::string> asked,
-                                               Instant now) const
+std::vector<const Replica *> ReplicaSet::replicasToProbe(const ReplicaQuery &query,
+                                                         ProbeRound round,
+                                                         std::span<const std::string> asked,
+                                                         Instant now) const
 {
-    std::vector<const Replica *> left = leftFor(query, now);
-    std::erase_if(left, [&](const Replica *replica) { return replica->opensAt(now) > now; });
-    return AskPlan(mEntry, query, now).choose(round, left, asked);
+    std::vector<const Replica *> left = candidatesFor(query, now);
+    std::erase_if(left, [&](const Replica *replica) { return replica->availableAt(now) > now; });
+    return ProbePlan(mEntry, query, now).choose(round, left, asked);
 }
 
 std::vector<const Replica *> ReplicaSet::usableFor(const ReplicaQuery &query,
-                                                   const OfferEstimator &estimator) const
+                                                   const ReplicaEstimator &estimator) const
 {
     const bool isBound = query.engine != nullptr && query.weights != nullptr;
     const auto isAnswered = [&](const Replica &replica) {
@@ -224,7 +227,7 @@
         if (!isAnswered(replica) || !estimator.isUsable(replica)) {
             continue;
         }
-        if (isBound && !estimator.beginsInTime(replica)) {
+        if (isBound && !estimator.startsBeforeExpiry(replica)) {
             continue;
         }
         (estimator.isSilent(replica) ? silent : usable).push_back(&replica);
@@ -234,35 +237,36 @@
 
 // For how long nobody knows what others send to a replica: until its next report,
 // or, where it was asked, since its answer.
-double ReplicaSet::unknownMs(const Replica &replica, const ReplicaQuery &query, Instant now)
+double ReplicaSet::unreportedMs(const Replica &replica, const ReplicaQuery &query, Instant now)
 {
     const auto lag = static_cast<double>(sReportLag.count());
     if (!query.answered.empty()) {
         return lag + std::chrono::duration<double, std::milli>(now - replica.loadAt).count();
     }
-    return lag + (replica.reportGapMs > 0 ? replica.reportGapMs : sUsualGapMs);
+    return lag
+        + (replica.reportIntervalMs > 0 ? replica.reportIntervalMs : sDefaultReportIntervalMs);
 }
 
 ReplicaSet::Survey ReplicaSet::survey(std::span<const Replica *const> usable,
-                                      const ReplicaQuery &query, const OfferEstimator &estimator,
+                                      const ReplicaQuery &query, const ReplicaEstimator &estimator,
                                       Instant now)
 {
-    const std::size_t most = query.engine == nullptr ? usable.size() : sSample;
+    const std::size_t most = query.engine == nullptr ? usable.size() : sMaxExamined;
     Survey survey;
     for (const Replica *replica : usable) {
         if (survey.looked >= most && !survey.prompt.empty()) {
             break;
         }
         ++survey.looked;
-        const ReplicaOffer offer = estimator.offer(*replica);
-        survey.horizonMs += unknownMs(*replica, query, now);
+        const ReplicaEstimate offer = estimator.offer(*replica);
+        survey.horizonMs += unreportedMs(*replica, query, now);
         survey.room += offer.room;
-        survey.freePlaces += offer.freePlaces;
-        survey.leastLoad = survey.looked == 1 ? offer.load : std::min(survey.leastLoad, offer.load);
-        if (offer.isPrompt) {
+        survey.freeSlots += offer.freeSlots;
+        survey.minLoad = survey.looked == 1 ? offer.load : std::min(survey.minLoad, offer.load);
+        if (offer.meetsGoal) {
             survey.prompt.push_back({replica, offer});
         }
-        if (offer.isOpen) {
+        if (offer.acceptsLate) {
             survey.open.push_back({replica, offer});
         }
     }
@@ -275,25 +279,25 @@
 {
     const auto calls = mCalls.find(query.service);
     if (query.engine == nullptr || calls == mCalls.end() || usable == 0) {
-        return sLeastLevelled;
+        return sMinExpectedCalls;
     }
-    const double perMs = calls->second.perMs(now) * std::max(query.entries, 1U);
-    return std::max(sLeastLevelled, perMs * survey.horizonMs / static_cast<double>(usable));
+    const double perMs = calls->second.perMs(now) * std::max(query.gatewayCount, 1U);
+    return std::max(sMinExpectedCalls, perMs * survey.horizonMs / static_cast<double>(usable));
 }
 
 // All gateways know the same loads, each a little old. If everyone took the
 // best replica, one that has a place free would get all requests until its next
 // report. So the requests that are expected until then are spread as would
 // level the loads, and each goes to one replica by chance, in that proportion.
-const ReplicaSet::Candidate &ReplicaSet::pickLevelled(std::span<const Candidate> candidates,
+const ReplicaSet::Candidate &ReplicaSet::pickWeighted(std::span<const Candidate> candidates,
                                                       double requests, double random)
 {
-    std::vector<LevelledPlace> places;
+    std::vector<WaterFillTarget> places;
     places.reserve(candidates.size());
     for (const Candidate &candidate : candidates) {
         places.push_back({candidate.offer.cost, std::max(candidate.offer.step, 1.0)});
     }
-    const std::vector<double> shares = levelShares(places, requests);
+    const std::vector<double> shares = waterFillShares(places, requests);
     double left = requests * random;
     const Candidate *last = &candidates.front();
     for (std::size_t index = 0; index < candidates.size(); ++index) {
@@ -310,22 +314,23 @@
 }
 
 // Whether so many found no room of late that whoever can still be in time wants each place.
-bool ReplicaSet::isShortOfRoom(std::string_view service, Instant now) const
+bool ReplicaSet::isServiceOverloaded(std::string_view service, Instant now) const
 {
     const auto it = mRefusals.find(service);
-    return it != mRefusals.end() && it->second.share(now) > sShortShare;
+    return it != mRefusals.end() && it->second.ratio(now) > sOverloadRefusalRatio;
 }
 
-bool ReplicaSet::canBePrompt(const ReplicaQuery &query)
+bool ReplicaSet::canMeetGoal(const ReplicaQuery &query)
 {
     const EngineModel model(*query.engine);
-    const double left = static_cast<double>((query.goal - query.waited).count()) * sGoalUsed;
-    return model.firstEvent({}, query.promptTokens) <= left;
+    const double left
+        = static_cast<double>((query.goal - query.waited).count()) * sPlannableGoalFraction;
+    return model.firstEventMs({}, query.promptTokens) <= left;
 }
 
 void ReplicaSet::noteChoice(const ReplicaQuery &query, const ReplicaChoice &choice, Instant now)
 {
-    if (query.engine == nullptr || query.isResumed || !canBePrompt(query)) {
+    if (query.engine == nullptr || query.isResumed || !canMeetGoal(query)) {
         return;
     }
     const auto *chosen = std::get_if<ChosenReplica>(&choice);
@@ -338,32 +343,33 @@
     const auto calls = mCalls.find(query.service);
     const Milliseconds shortest
         = calls == mCalls.end() ? Milliseconds::max() : calls->second.shortestGoal();
-    OfferEstimator estimator(query, shortest, now);
-    estimator.setFastestAnswer(fastestAnswerMs(estimator));
+    ReplicaEstimator estimator(query, shortest, now);
+    estimator.setMinAnswerMs(minAnswerMs(estimator));
     std::vector<const Replica *> usable = usableFor(query, estimator);
-    const auto opening = usable.empty() ? nextOpening(query, now) : std::nullopt;
+    const auto opening = usable.empty() ? nextAvailability(query, now) : std::nullopt;
     if (opening) {
-        return AllBusy{ComeBack(query).afterHold(*opening - now), 1, true};
+        return AllBusy{RetryAdvice(query).afterPause(*opening - now), 1, true};
     }
     if (usable.empty()) {
-        return NoneUsable{countOf(query.service), ComeBack(query).afterNone()};
+        return NoneUsable{serviceReplicaCount(query.service), RetryAdvice(query).whenNoneUsable()};
     }
     ChoiceRandom(query.random).shuffle(usable);
     const Survey survey = ReplicaSet::survey(usable, query, estimator, now);
-    const std::size_t sharing = query.answered.empty() ? usable.size() : leftFor(query, now).size();
+    const std::size_t sharing
+        = query.answered.empty() ? usable.size() : candidatesFor(query, now).size();
     const double expected = expectedCalls(query, survey, sharing, now);
-    ChoiceRandom draws(query.random ^ sOtherDraws);
-    const double chance = draws.unit();
+    ChoiceRandom draws(query.random ^ sSelectionSeedMask);
+    const double chance = draws.nextFraction();
     const bool isShared = query.engine == nullptr || chance * expected < survey.room;
-    const bool isPrompt = !survey.prompt.empty() && isShared;
-    const bool isShort = query.engine != nullptr && isShortOfRoom(query.service, now);
-    const bool mayBeLate = query.isResumed || survey.freePlaces > expected;
-    const bool isPatient = !isPrompt && mayBeLate && !survey.open.empty();
-    if (!isPrompt && !isPatient) {
-        return AllBusy{ComeBack(query).afterBusy(survey.leastLoad, isShort), survey.leastLoad};
-    }
-    const std::vector<Candidate> &candidates = isPrompt ? survey.prompt : survey.open;
-    const Candidate &chosen = pickLevelled(candidates, expected, draws.unit());
+    const bool meetsGoal = !survey.prompt.empty() && isShared;
+    const bool isOverloaded = query.engine != nullptr && isServiceOverloaded(query.service, now);
+    const bool mayBeLate = query.isResumed || survey.freeSlots > expected;
+    const bool isPatient = !meetsGoal && mayBeLate && !survey.open.empty();
+    if (!meetsGoal && !isPatient) {
+        return AllBusy{RetryAdvice(query).whenBusy(survey.minLoad, isOverloaded), survey.minLoad};
+    }
+    const std::vector<Candidate> &candidates = meetsGoal ? survey.prompt : survey.open;
+    const Candidate &chosen = pickWeighted(candidates, expected, draws.nextFraction());
     const auto age = chosen.replica->load
         ? std::chrono::duration_cast<Milliseconds>(now - chosen.replica->loadAt)
         : Milliseconds(-1);
@@ -372,7 +378,7 @@
                          chosen.offer.load, age, chosen.offer.answer};
 }
 
-std::uint32_t ReplicaSet::countOf(std::string_view service) const
+std::uint32_t ReplicaSet::serviceReplicaCount(std::string_view service) const
 {
     return static_cast<std::uint32_t>(std::ranges::count_if(
         mReplicas, [&](const auto &item) { return item.second.record.service == service; }));
@@ -386,20 +392,20 @@
     }
     Replica &replica = it->second;
     ++replica.inFlight;
-    ++replica.startedSince;
-    replica.startedLately.push_back(now);
-    replica.sentLately.push_back(now);
-    while (replica.sentLately.front() + sSendSpan <= now) {
-        replica.sentLately.pop_front();
+    ++replica.startedSinceReport;
+    replica.recentStarts.push_back(now);
+    replica.recentSends.push_back(now);
+    while (replica.recentSends.front() + sSendSpan <= now) {
+        replica.recentSends.pop_front();
     }
-    ++replica.awaiting;
+    ++replica.awaitingFirstByte;
     replica.patientWaiting += isPatient ? 1 : 0;
 }
 
-void ReplicaSet::stopAwaiting(Replica &replica, bool isPatient)
+void ReplicaSet::stopAwaitingFirstByte(Replica &replica, bool isPatient)
 {
-    if (replica.awaiting > 0) {
-        --replica.awaiting;
+    if (replica.awaitingFirstByte > 0) {
+        --replica.awaitingFirstByte;
     }
     if (isPatient && replica.patientWaiting > 0) {
         --replica.patientWaiting;
@@ -412,20 +418,20 @@
     if (it == mReplicas.end()) {
         return;
     }
-    stopAwaiting(it->second, isPatient);
+    stopAwaitingFirstByte(it->second, isPatient);
     if (isPatient) {
         return; // its time says nothing of the replica
     }
     const double ms = std::chrono::duration<double, std::milli>(took).count();
     double &mean = it->second.answerMs;
-    mean += (mean == 0 ? 1.0 : sSmoothing) * (ms - mean);
+    mean += (mean == 0 ? 1.0 : sSmoothingWeight) * (ms - mean);
 }
 
 void ReplicaSet::answerMissed(std::string_view id, bool isPatient)
 {
     const auto it = mReplicas.find(id);
     if (it != mReplicas.end()) {
-        stopAwaiting(it->second, isPatient);
+        stopAwaitingFirstByte(it->second, isPatient);
     }
 }
 
@@ -438,124 +444,127 @@
     Replica &replica = it->second;
     if (replica.inFlight > 0) {
         --replica.inFlight;
-        ++replica.endedSince;
+        ++replica.endedSinceReport;
     }
     if (outcome == ReplicaOutcome::Abandoned) {
         return;
     }
     const bool failed = outcome != ReplicaOutcome::Answered && outcome != ReplicaOutcome::Refused;
-    replica.failureRate += sSmoothing * ((failed ? 1.0 : 0.0) - replica.failureRate);
+    replica.failureRate += sSmoothingWeight * ((failed ? 1.0 : 0.0) - replica.failureRate);
     if (outcome == ReplicaOutcome::Answered) {
         replica.failures = 0;
-        replica.fillLevel.noteAnswer();
+        replica.concurrencyLimit.noteAnswer();
         return;
     }
     if (outcome == ReplicaOutcome::Refused) {
-        replica.avoidedUntil = std::max(replica.avoidedUntil, now + sRefusalPause);
+        replica.avoidedUntil = std::max(replica.avoidedUntil, now + sRefusalBackoff);
         return;
     }
     if (outcome == ReplicaOutcome::Failed) {
         return;
     }
     ++replica.failures;
-    const auto doubled = sFailurePause * (1LL << std::min<std::uint32_t>(replica.failures - 1, 10));
+    const auto doubled
+        = sMinFailureBackoff * (1LL << std::min<std::uint32_t>(replica.failures - 1, 10));
     replica.avoidedUntil
-        = std::max(replica.avoidedUntil, now + std::min<Milliseconds>(doubled, sMostPause));
+        = std::max(replica.avoidedUntil, now + std::min<Milliseconds>(doubled, sMaxFailureBackoff));
 }
 
-LimitChange ReplicaSet::nameLimit(std::string_view id, double perSecond, Instant now)
+LimitChange ReplicaSet::noteNamedLimit(std::string_view id, double perSecond, Instant now)
 {
     const auto it = mReplicas.find(id);
     return it == mReplicas.end() ? LimitChange::Nothing : it->second.limit.name(perSecond, now);
 }
 
-LimitChange ReplicaSet::hearLimit(const ToldLimit &told, Instant now)
+LimitChange ReplicaSet::applyLimit(const ReportedLimit &told, Instant now)
 {
     const auto it = mReplicas.find(told.replica());
-    if (it == mReplicas.end() || it->second.record.life() != told.life) {
+    if (it == mReplicas.end() || it->second.record.incarnation() != told.incarnation) {
         return LimitChange::Nothing;
     }
     const LimitChange change = it->second.limit.hear(told.perSecond, told.heardAt);
     // Also where the wait is over sooner, as when the limit rose.
     if (told.perSecond) {
-        it->second.noPermitUntil = now + told.wait;
+        it->second.rateLimitedUntil = now + told.wait;
     }
     return change;
 }
 
-void ReplicaSet::denyUntil(std::string_view id, Instant until)
+void ReplicaSet::setRateLimitedUntil(std::string_view id, Instant until)
 {
     const auto it = mReplicas.find(id);
     if (it != mReplicas.end()) {
-        it->second.noPermitUntil = until;
+        it->second.rateLimitedUntil = until;
     }
 }
 
 // The first of those that are only held up by what they said themselves.
-std::optional<Instant> ReplicaSet::nextOpening(const ReplicaQuery &query, Instant now) const
+std::optional<Instant> ReplicaSet::nextAvailability(const ReplicaQuery &query, Instant now) const
 {
     std::optional<Instant> next;
-    for (const Replica *replica : leftFor(query, now)) {
-        const Instant opens = replica->opensAt(now);
-        const bool isHeldUp = opens > now && replica->avoidedUntil <= opens;
-        if (isHeldUp && (!next || opens < *next)) {
+    for (const Replica *replica : candidatesFor(query, now)) {
+        const Instant opens = replica->availableAt(now);
+        const bool isRateLimited = opens > now && replica->avoidedUntil <= opens;
+        if (isRateLimited && (!next || opens < *next)) {
             next = opens;
         }
     }
     return next;
 }
 
-std::optional<Milliseconds> ReplicaSet::heldFor(const ReplicaQuery &query, Instant now) const
+std::optional<Milliseconds> ReplicaSet::retryDelayIfPaused(const ReplicaQuery &query,
+                                                           Instant now) const
 {
-    const std::vector<const Replica *> left = leftFor(query, now);
+    const std::vector<const Replica *> left = candidatesFor(query, now);
     const bool isOneOpen = std::ranges::any_of(
-        left, [&](const Replica *replica) { return replica->opensAt(now) <= now; });
-    const auto opening = isOneOpen ? std::nullopt : nextOpening(query, now);
+        left, [&](const Replica *replica) { return replica->availableAt(now) <= now; });
+    const auto opening = isOneOpen ? std::nullopt : nextAvailability(query, now);
     if (!opening) {
         return std::nullopt;
     }
-    return ComeBack(query).afterHold(*opening - now);
+    return RetryAdvice(query).afterPause(*opening - now);
 }
 
-std::string ReplicaSet::heldByNotices(std::string_view service, Instant now) const
+std::string ReplicaSet::pausedByNotices(std::string_view service, Instant now) const
 {
     std::string all;
     for (const auto &[id, replica] : mReplicas) {
-        const HeldBack held = replica.heldBack(now);
-        const bool isByNotice = held == HeldBack::Leaving || held == HeldBack::Resting;
+        const UnavailableReason held = replica.unavailableReason(now);
+        const bool isByNotice
+            = held == UnavailableReason::Leaving || held == UnavailableReason::Resting;
         if (replica.record.service == service && isByNotice) {
-            all += (all.empty() ? "" : ", ") + id + " " + std::string(heldBackName(held));
+            all += (all.empty() ? "" : ", ") + id + " " + std::string(unavailableReasonName(held));
         }
     }
     return all;
 }
 
-LimitChange ReplicaSet::nameNoLimit(std::string_view id, Instant sentAt, Instant now)
+LimitChange ReplicaSet::noteNoLimit(std::string_view id, Instant sentAt, Instant now)
 {
     const auto it = mReplicas.find(id);
     return it == mReplicas.end() ? LimitChange::Nothing : it->second.limit.nameNone(sentAt, now);
 }
 
-NoticeChange ReplicaSet::hearNotice(std::string_view id, std::uint64_t born,
-                                    const ReplicaNotice &notice, Instant now)
+NoticeChange ReplicaSet::applyNotice(std::string_view id, std::uint64_t born,
+                                     const ReplicaNotice &notice, Instant now)
 {
     const auto it = mReplicas.find(id);
-    if (it != mReplicas.end() && it->second.record.isOfLife(born)) {
+    if (it != mReplicas.end() && it->second.record.isSameIncarnation(born)) {
         Replica &replica = it->second;
         if (notice.rest) {
-            replica.fillLevel.lower(replica.held() - 1, replica.record.slots, now);
+            replica.concurrencyLimit.lower(replica.heldRequests() - 1, replica.record.slots, now);
         }
         return replica.notices.hear(notice, now);
     }
-    LifeNotices kept = mKept.take(id, born);
+    NoticeState kept = mRetained.take(id, born);
     const NoticeChange change = kept.hear(notice, now);
-    mKept.keep(id, born, kept, now);
+    mRetained.keep(id, born, kept, now);
     return change;
 }
 
 void ReplicaSet::keepNotices(const Replica &replica, Instant now)
 {
-    mKept.keep(replica.record.id, replica.record.born, replica.notices, now);
+    mRetained.keep(replica.record.id, replica.record.born, replica.notices, now);
 }
 
 const Replica *ReplicaSet::find(std::string_view id) const
@@ -569,13 +578,13 @@
     std::erase_if(mReplicas, [&](const auto &item) {
         const Replica &replica = item.second;
         const bool isOver
-            = replica.goneAt != Instant() && replica.goneAt <= now && replica.inFlight == 0;
+            = replica.removedAt != Instant() && replica.removedAt <= now && replica.inFlight == 0;
         if (isOver) {
             keepNotices(replica, now);
         }
         return isOver;
     });
-    mKept.sweep(now);
+    mRetained.sweep(now);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/replicaset.h
+++ b/src/libloomjunction/core/replicaset.h
@@ -8,13 +8,13 @@
 
 #pragma once
 
-#include "askplan.h"
 #include "callrate.h"
 #include "instant.h"
-#include "keptnotices.h"
-#include "refusalshare.h"
+#include "probeplan.h"
+#include "refusalratio.h"
 #include "replica.h"
-#include "replicaoffer.h"
+#include "replicaestimate.h"
+#include "retainednotices.h"
 
 #include <cstdint>
 #include <map>
@@ -37,8 +37,8 @@
 struct AllBusy
 {
     Milliseconds comeBack{0};
-    double leastLoad = 0; ///< requests for each slot at the least busy one
-    bool isHeld = false; ///< all wait for the end of a rest or for their limits
+    double minLoad = 0; ///< requests for each slot at the least busy one
+    bool areAllPaused = false; ///< all wait for the end of a rest or for their limits
 };
 struct ChosenReplica
 {
@@ -59,7 +59,7 @@
 public:
     /**
      * @p drainTime: a replica that leaves gets nothing after it. @p entry: the
-     * key of the gateway that chooses, see AskPlan.
+     * key of the gateway that chooses, see ProbePlan.
      */
     explicit ReplicaSet(Milliseconds drainTime, std::string entry = {})
         : mDrainTime(drainTime)
@@ -87,14 +87,15 @@
 
     ReplicaChoice choose(const ReplicaQuery &query, Instant now) const;
     /** When to come back while all rest or are held up by limits; nothing: one is open. */
-    std::optional<Milliseconds> heldFor(const ReplicaQuery &query, Instant now) const;
+    std::optional<Milliseconds> retryDelayIfPaused(const ReplicaQuery &query, Instant now) const;
     /** Replicas of @p service that told this gateway to send nothing, and how. */
-    std::string heldByNotices(std::string_view service, Instant now) const;
+    std::string pausedByNotices(std::string_view service, Instant now) const;
     /** Replicas whose agents should be asked before a choice; @p asked: they were. */
-    std::vector<const Replica *> toAsk(const ReplicaQuery &query, AskRound round,
-                                       std::span<const std::string> asked, Instant now) const;
+    std::vector<const Replica *> replicasToProbe(const ReplicaQuery &query, ProbeRound round,
+                                                 std::span<const std::string> asked,
+                                                 Instant now) const;
     /** Replicas of an engine's service that this gateway should keep links to. */
-    std::vector<const Replica *> neighbours(const ReplicaQuery &query, Instant now) const;
+    std::vector<const Replica *> subset(const ReplicaQuery &query, Instant now) const;
 
     /** A caller's request for @p service came. */
     void noteCall(std::string_view service, Milliseconds goal, Instant now);
@@ -108,20 +109,20 @@
     void answerMissed(std::string_view id, bool isPatient);
 
     /** An answer of the replica, which came at @p now, named @p perSecond. */
-    LimitChange nameLimit(std::string_view id, double perSecond, Instant now);
+    LimitChange noteNamedLimit(std::string_view id, double perSecond, Instant now);
     /** What another process told of a replica's limit. */
-    LimitChange hearLimit(const ToldLimit &told, Instant now);
+    LimitChange applyLimit(const ReportedLimit &told, Instant now);
     /** Nothing may be sent to the replica under its limit before @p until. */
-    void denyUntil(std::string_view id, Instant until);
+    void setRateLimitedUntil(std::string_view id, Instant until);
     /** An answer to a request that was sent at @p sentAt named no limit. */
-    LimitChange nameNoLimit(std::string_view id, Instant sentAt, Instant now);
+    LimitChange noteNoLimit(std::string_view id, Instant sentAt, Instant now);
 
     /**
      * An answer of the life of the replica @p id that began at @p born (zero: the one
      * that is known) came @p now. The life need not be in the set.
      */
-    NoticeChange hearNotice(std::string_view id, std::uint64_t born, const ReplicaNotice &notice,
-                            Instant now);
+    NoticeChange applyNotice(std::string_view id, std::uint64_t born, const ReplicaNotice &notice,
+                             Instant now);
 
     const Replica *find(std::string_view id) const;
     const std::map<std::string, Replica, std::less<>> &all() const { return mReplicas; }
@@ -133,7 +134,7 @@
     struct Candidate
     {
         const Replica *replica = nullptr;
-        ReplicaOffer offer;
+        ReplicaEstimate offer;
     };
 
     /** What the replicas that were looked at for one request offer together. */
@@ -144,37 +145,37 @@
         std::size_t looked = 0;
         double horizonMs = 0; ///< sum of the times that their loads are unknown for
         double room = 0;
-        double freePlaces = 0;
-        double leastLoad = 0;
+        double freeSlots = 0;
+        double minLoad = 0;
     };
 
-    static bool mayBeUsed(const Replica &replica, const ReplicaQuery &query, Instant now);
-    std::vector<const Replica *> leftFor(const ReplicaQuery &query, Instant now) const;
+    static bool isCandidate(const Replica &replica, const ReplicaQuery &query, Instant now);
+    std::vector<const Replica *> candidatesFor(const ReplicaQuery &query, Instant now) const;
     void keepNotices(const Replica &replica, Instant now);
-    void retireEarlierLives(const ReplicaRecord &record, Instant now);
-    static void forgiveLoad(Replica &replica, Instant now);
-    static void stopAwaiting(Replica &replica, bool isPatient);
-    std::optional<Instant> nextOpening(const ReplicaQuery &query, Instant now) const;
-    std::uint32_t countOf(std::string_view service) const;
-    double fastestAnswerMs(const OfferEstimator &estimator) const;
+    void retireEarlierIncarnations(const ReplicaRecord &record, Instant now);
+    static void forgiveReloadFailures(Replica &replica, Instant now);
+    static void stopAwaitingFirstByte(Replica &replica, bool isPatient);
+    std::optional<Instant> nextAvailability(const ReplicaQuery &query, Instant now) const;
+    std::uint32_t serviceReplicaCount(std::string_view service) const;
+    double minAnswerMs(const ReplicaEstimator &estimator) const;
     std::vector<const Replica *> usableFor(const ReplicaQuery &query,
-                                           const OfferEstimator &estimator) const;
-    static double unknownMs(const Replica &replica, const ReplicaQuery &query, Instant now);
+                                           const ReplicaEstimator &estimator) const;
+    static double unreportedMs(const Replica &replica, const ReplicaQuery &query, Instant now);
     static Survey survey(std::span<const Replica *const> usable, const ReplicaQuery &query,
-                         const OfferEstimator &estimator, Instant now);
+                         const ReplicaEstimator &estimator, Instant now);
     double expectedCalls(const ReplicaQuery &query, const Survey &survey, std::size_t usable,
                          Instant now) const;
-    static const Candidate &pickLevelled(std::span<const Candidate> candidates, double requests,
+    static const Candidate &pickWeighted(std::span<const Candidate> candidates, double requests,
                                          double random);
-    static bool canBePrompt(const ReplicaQuery &query);
-    bool isShortOfRoom(std::string_view service, Instant now) const;
+    static bool canMeetGoal(const ReplicaQuery &query);
+    bool isServiceOverloaded(std::string_view service, Instant now) const;
 
     Milliseconds mDrainTime;
     std::string mEntry;
     std::map<std::string, CallRate, std::less<>> mCalls; ///< by service
-    std::map<std::string, RefusalShare, std::less<>> mRefusals; ///< by service
+    std::map<std::string, RefusalRatio, std::less<>> mRefusals; ///< by service
     std::map<std::string, Replica, std::less<>> mReplicas;
-    KeptNotices mKept;
+    RetainedNotices mRetained;
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/keptnotices.cpp
+++ b/src/libloomjunction/core/retainednotices.cpp
@@ -1,12 +1,12 @@
 /*
- * keptnotices.cpp
+ * retainednotices.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "keptnotices.h"
+#include "retainednotices.h"
 
 #include <algorithm>
 
@@ -15,22 +15,22 @@
 namespace {
 
 // Far beyond the history of any store and the draining time of any replica.
-constexpr std::chrono::minutes sKeptFor{10};
+constexpr std::chrono::minutes sRetentionTime{10};
 
 } // namespace
 
-void KeptNotices::keep(std::string_view id, std::uint64_t born, const LifeNotices &notices,
-                       Instant now)
+void RetainedNotices::keep(std::string_view id, std::uint64_t born, const NoticeState &notices,
+                           Instant now)
 {
-    if (notices.isInForce(now)) {
-        mKept[std::string(id)].push_back({born, notices, now});
+    if (notices.isActive(now)) {
+        mById[std::string(id)].push_back({born, notices, now});
     }
 }
 
-LifeNotices KeptNotices::take(std::string_view id, std::uint64_t born)
+NoticeState RetainedNotices::take(std::string_view id, std::uint64_t born)
 {
-    const auto it = mKept.find(id);
-    if (it == mKept.end()) {
+    const auto it = mById.find(id);
+    if (it == mById.end()) {
         return {};
     }
     std::vector<Kept> &lives = it->second;
@@ -39,20 +39,20 @@
     if (found == lives.end()) {
         return {};
     }
-    const LifeNotices notices = found->notices;
+    const NoticeState notices = found->notices;
     lives.erase(found);
     return notices;
 }
 
-void KeptNotices::sweep(Instant now)
+void RetainedNotices::sweep(Instant now)
 {
     const auto isOver = [now](const Kept &kept) {
-        return kept.since + sKeptFor <= now || !kept.notices.isInForce(now);
+        return kept.since + sRetentionTime <= now || !kept.notices.isActive(now);
     };
-    for (auto &[id, lives] : mKept) {
+    for (auto &[id, lives] : mById) {
         std::erase_if(lives, isOver);
     }
-    std::erase_if(mKept, [](const auto &item) { return item.second.empty(); });
+    std::erase_if(mById, [](const auto &item) { return item.second.empty(); });
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/keptnotices.h
+++ b/src/libloomjunction/core/retainednotices.h
@@ -1,5 +1,5 @@
 /*
- * keptnotices.h
+ * retainednotices.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "lifenotices.h"
+#include "noticestate.h"
 
 #include <cstdint>
 #include <map>
@@ -22,13 +22,13 @@
  * Notices of lives that no record tells of at present. A record may come back by the same
  * id, from a store that forgot or from another process that is behind.
  */
-class KeptNotices
+class RetainedNotices
 {
 public:
     /** Of the life of @p id that began at @p born; zero: untold, any life of that id. */
-    void keep(std::string_view id, std::uint64_t born, const LifeNotices &notices, Instant now);
+    void keep(std::string_view id, std::uint64_t born, const NoticeState &notices, Instant now);
     /** Takes out what is kept of that life; without any, nothing was said. */
-    LifeNotices take(std::string_view id, std::uint64_t born);
+    NoticeState take(std::string_view id, std::uint64_t born);
     /** Forgets what was kept long ago. */
     void sweep(Instant now);
 
@@ -36,11 +36,11 @@
     struct Kept
     {
         std::uint64_t born = 0;
-        LifeNotices notices;
+        NoticeState notices;
         Instant since;
     };
 
-    std::map<std::string, std::vector<Kept>, std::less<>> mKept; ///< by id
+    std::map<std::string, std::vector<Kept>, std::less<>> mById; ///< by id
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/comeback.h
+++ b/src/libloomjunction/core/retryadvice.h
@@ -1,5 +1,5 @@
 /*
- * comeback.h
+ * retryadvice.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -9,28 +9,28 @@
 #pragma once
 
 #include "instant.h"
-#include "replicaoffer.h"
+#include "replicaestimate.h"
 
 namespace Loom {
 
 /** When a caller that finds no place is told to try again. Lives as long as one choice. */
-class ComeBack
+class RetryAdvice
 {
 public:
-    explicit ComeBack(const ReplicaQuery &query)
+    explicit RetryAdvice(const ReplicaQuery &query)
         : mQuery(query)
     {
     }
 
     /**
-     * All replicas are busy, the least busy one with @p leastLoad requests a slot.
-     * @p isShort: so are many others, and places will be wanted for a while.
+     * All replicas are busy, the least busy one with @p minLoad requests a slot.
+     * @p isOverloaded: so are many others, and places will be wanted for a while.
      */
-    Milliseconds afterBusy(double leastLoad, bool isShort) const;
+    Milliseconds whenBusy(double minLoad, bool isOverloaded) const;
     /** All rest or are held up by the limits that they named; the first one for @p wait. */
-    Milliseconds afterHold(Microseconds wait) const;
+    Milliseconds afterPause(Microseconds wait) const;
     /** No replica can be used at all, as while weights change. */
-    Milliseconds afterNone() const;
+    Milliseconds whenNoneUsable() const;
 
 private:
     Milliseconds late() const;
--- a/src/libloomjunction/core/levelling.h
+++ b/src/libloomjunction/core/waterfill.h
@@ -1,5 +1,5 @@
 /*
- * levelling.h
+ * waterfill.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -14,7 +14,7 @@
 namespace Loom {
 
 /** A place where requests can go. Both in the same unit, e.g. milliseconds. */
-struct LevelledPlace
+struct WaterFillTarget
 {
     double cost = 0; ///< of the next request there
     double step = 1; ///< by which each request raises the cost; above zero
@@ -25,6 +25,6 @@
  * get any end at the same cost. The sum is @p requests; fractions are meant as
  * probabilities.
  */
-std::vector<double> levelShares(std::span<const LevelledPlace> places, double requests);
+std::vector<double> waterFillShares(std::span<const WaterFillTarget> places, double requests);
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/feedservice.cpp
+++ b/src/libloomjunction/gateway/feedservice.cpp
@@ -13,9 +13,9 @@
 #include "jsonlog.h"
 #include "loopstep.h"
 #include "metrics.h"
-#include "openquestions.h"
 #include "peerconnection.h"
 #include "peerhub.h"
+#include "pendingqueries.h"
 #include "wire.pb.h"
 
 #include <algorithm>
@@ -550,7 +550,7 @@
     const bool asFollower = isFollower(feed);
     const Milliseconds mostAge = feed == Feed::Members ? sRelayedMembersAge : sRelayedAge;
     const Instant until = now() + longest;
-    OpenQuestions questions(now());
+    PendingQueries questions(now());
     stream->send(request);
     Instant askedAt = now();
     Instant heardAt = now();
@@ -619,7 +619,7 @@
 
 // False when it holds something that cannot be read; how far it reaches counts for
 // nothing then, so that the store is asked for the same records.
-bool FeedService::takeUpdate(Feed feed, const wire::FollowUpdate &update, OpenQuestions &questions,
+bool FeedService::takeUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &questions,
                              const Tcp::endpoint &from)
 {
     const LoopStep step("taking an update");
--- a/src/libloomjunction/gateway/feedservice.h
+++ b/src/libloomjunction/gateway/feedservice.h
@@ -27,7 +27,7 @@
 namespace Loom {
 
 class Metrics;
-class OpenQuestions;
+class PendingQueries;
 class PeerHub;
 namespace wire {
 class FollowUpdate;
@@ -182,7 +182,7 @@
     bool isFollower(Feed feed) const;
     bool isDoubtful(Feed feed) const;
     static void putValue(FeedState &state, const FeedRecord &record, wire::RelayedRecord &relayed);
-    bool takeUpdate(Feed feed, const wire::FollowUpdate &update, OpenQuestions &questions,
+    bool takeUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &questions,
                     const Tcp::endpoint &from);
     void takeWhole(Feed feed, const wire::FollowUpdate &update, Microseconds age);
     std::optional<FeedRecord> readRelayed(Feed feed, const wire::RelayedRecord &relayed) const;
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -203,7 +203,7 @@
     query.dataCentre = mCall.parts.settings.dataCentre;
     query.goal = mCall.route->goal;
     query.promptTokens = mCall.caller.promptTokens;
-    query.entries = mCall.parts.members.gatewayCount();
+    query.gatewayCount = mCall.parts.members.gatewayCount();
     query.excluded = mExcluded;
     query.random = mRandom + mSends;
     query.waited
@@ -213,7 +213,7 @@
     if (mCall.service != nullptr && mCall.service->engine) {
         query.engine = &*mCall.service->engine;
         const WeightsGoal &weights = mCall.parts.config.weights();
-        query.leastVersion = weights.oldestAllowed(mCall.caller.model, now());
+        query.minVersion = weights.oldestAllowed(mCall.caller.model, now());
         query.weights = &weights;
         query.model = mCall.caller.model;
     }
@@ -229,7 +229,9 @@
 // A caller that came back before a replica takes requests again would be refused again.
 Milliseconds GatewayCall::comeBackAfterRefusal() const
 {
-    return mCall.parts.replicas.replicas().heldFor(query(), now()).value_or(sRefusedComeBack);
+    return mCall.parts.replicas.replicas()
+        .retryDelayIfPaused(query(), now())
+        .value_or(sRefusedComeBack);
 }
 
 awaitable<void> GatewayCall::tryReplicas()
@@ -247,7 +249,7 @@
         if (chosen == nullptr) {
             mNoMore = std::holds_alternative<AllBusy>(choice) ? "all busy" : "no replica";
             const auto *busy = std::get_if<AllBusy>(&choice);
-            if (busy != nullptr && (mExcluded.empty() || busy->isHeld)) {
+            if (busy != nullptr && (mExcluded.empty() || busy->areAllPaused)) {
                 last = {503, "all replicas are busy", busy->comeBack};
             }
             if (const auto *none = std::get_if<NoneUsable>(&choice); none && mExcluded.empty()) {
@@ -667,7 +669,7 @@
 
 void GatewayCall::noteAnswerBegun()
 {
-    if (mTimes.noteBegun(now())) {
+    if (mTimes.noteStart(now())) {
         mCall.parts.metrics.observe("first_answer_ms", mCall.serviceName,
                                     static_cast<double>(mTimes.first()->count()));
     }
@@ -702,9 +704,9 @@
     logEnd(status, "unknown", reason);
 }
 
-std::string GatewayCall::heldByNotices() const
+std::string GatewayCall::pausedByNotices() const
 {
-    return mCall.parts.replicas.replicas().heldByNotices(mCall.serviceName, now());
+    return mCall.parts.replicas.replicas().pausedByNotices(mCall.serviceName, now());
 }
 
 void GatewayCall::logEnd(int status, std::string_view outcome, std::string_view reason)
@@ -730,7 +732,7 @@
              {"sends", mSends},
              {"denied", mDenied},
              {"noMore", mNoMore},
-             {"held", outcome == "refused" ? heldByNotices() : std::string()},
+             {"held", outcome == "refused" ? pausedByNotices() : std::string()},
              {"events", mEvents},
              {"replica", mTried.id},
              {"request", mDigest.text()},
--- a/src/libloomjunction/gateway/gatewaycall.h
+++ b/src/libloomjunction/gateway/gatewaycall.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "answertimes.h"
+#include "answertiming.h"
 #include "asynctypes.h"
 #include "bootclock.h"
 #include "callstate.h"
@@ -91,7 +91,7 @@
     void startWatching();
     void cancelTries();
     void noteAnswerBegun();
-    std::string heldByNotices() const;
+    std::string pausedByNotices() const;
     void logEnd(int status, std::string_view outcome, std::string_view reason);
 
     CallState mCall;
@@ -119,7 +119,7 @@
 
     std::uint32_t mEvents = 0; ///< that the caller got
     std::string_view mNoMore; ///< why no further try followed the last one
-    AnswerTimes mTimes;
+    AnswerTiming mTimes;
     ChosenReplica mTried; ///< the last one
     RequestDigest mDigest; ///< made only where it is asked for
     bool mWasPatient = false;
--- a/src/libloomjunction/gateway/loadasker.cpp
+++ b/src/libloomjunction/gateway/loadasker.cpp
@@ -57,7 +57,7 @@
     load.weightsVersion = told.weights_version();
     load.isAccepting = told.accepting();
     load.isLinkSlow = told.link_slow();
-    load.hasClaims = true;
+    load.includesInTransit = true;
     if (told.has_limit()) {
         load.limit = limitTold(told.limit(), now());
         load.limit->wait = Microseconds(told.permit_wait_us());
@@ -180,9 +180,9 @@
     if (link.open.empty()) {
         return sUnasked;
     }
-    const Microseconds took = now - link.open.front();
+    const Microseconds roundTrip = now - link.open.front();
     link.open.pop_front();
-    return std::max(took, sShortest);
+    return std::max(roundTrip, sShortest);
 }
 
 awaitable<void> LoadAsker::connect(std::string address)
@@ -219,7 +219,7 @@
             break;
         }
         ReplicaLoad load = loadOf(**report);
-        load.took = answerTime(link, now());
+        load.roundTrip = answerTime(link, now());
         link.heardAt = now();
         link.askedAt = Instant();
         link.silentUntil = Instant();
@@ -228,7 +228,7 @@
         mHeard((*report)->address(), load);
         mAnswered.notify();
         // So late, or an earlier question had no answer and all times are too long.
-        if (load.took > sStreamLost) {
+        if (load.roundTrip > sStreamLost) {
             break;
         }
     }
--- a/src/libloomjunction/gateway/loadreporter.cpp
+++ b/src/libloomjunction/gateway/loadreporter.cpp
@@ -118,7 +118,7 @@
         report.set_address(mReplica);
         report.set_member(mMembers->key());
         report.set_running(mLoad->running);
-        report.set_waiting(mLoad->waiting + mClaims.unseenBy(mLoadAt));
+        report.set_waiting(mLoad->waiting + mClaims.notVisibleAt(mLoadAt));
         report.set_waiting_patient(patientWaiting());
         report.set_memory_used(mLoad->memoryUsed);
         report.set_memory_total(mLoad->memoryTotal);
--- a/src/libloomjunction/gateway/loadreporter.h
+++ b/src/libloomjunction/gateway/loadreporter.h
@@ -8,8 +8,8 @@
 
 #pragma once
 
-#include "claimcount.h"
 #include "clock.h"
+#include "intransitcount.h"
 #include "kernel.h"
 #include "peerstream.h"
 #include "replica.h"
@@ -70,7 +70,7 @@
     bool mIsLooking = false;
     std::optional<ReplicaLoad> mLoad;
     Instant mLoadAt;
-    ClaimCount mClaims;
+    InTransitCount mClaims;
     std::map<const PeerStream *, std::uint32_t> mPatient; ///< waiting here, by gateway
     bool mStopped = false;
 };
--- a/src/libloomjunction/gateway/permitasker.cpp
+++ b/src/libloomjunction/gateway/permitasker.cpp
@@ -44,23 +44,23 @@
 std::optional<Tcp::endpoint> PermitAsker::keeperOf(const Replica &replica) const
 {
     const auto agent = mMembers.agentOf(replica.record.address);
-    return agent ? agent : mMembers.homeOf(replica.record.life());
+    return agent ? agent : mMembers.homeOf(replica.record.incarnation());
 }
 
 // Who takes the replica over knows nothing of what was sent; it is told once.
 wire::PermitQuery PermitAsker::queryFor(const Replica &replica, const std::string &keeper)
 {
     const Instant time = now();
-    const std::string life = replica.record.life();
+    const std::string incarnation = replica.record.incarnation();
     wire::PermitQuery query;
     *query.mutable_limit()
-        = limitToTell({life, replica.limit.perSecond(), replica.limit.heardAt(), {}}, time);
+        = limitToTell({incarnation, replica.limit.perSecond(), replica.limit.heardAt(), {}}, time);
     query.set_address(replica.record.address);
-    if (mToldTo[life] == keeper) {
+    if (mToldTo[incarnation] == keeper) {
         return query;
     }
-    mToldTo[life] = keeper;
-    for (const Instant sent : replica.sentLately) {
+    mToldTo[incarnation] = keeper;
+    for (const Instant sent : replica.recentSends) {
         if (time - sent < sSendSpan) {
             query.add_sent_age_us(static_cast<std::uint64_t>((time - sent).count()));
         }
@@ -87,7 +87,7 @@
         co_return mOwn.answer(query);
     }
     const auto question = std::make_shared<Question>(mExecutor);
-    question->life = replica.record.life();
+    question->incarnation = replica.record.incarnation();
     question->askedAt = now();
     Link &link = mLinks[endpointText(*keeper)];
     if (isLost(link, question->askedAt)) {
@@ -158,7 +158,7 @@
         }
         const QuestionPtr question = link.open.front();
         const bool isOther
-            = (*answer)->has_limit() && (*answer)->limit().replica() != question->life;
+            = (*answer)->has_limit() && (*answer)->limit().replica() != question->incarnation;
         if (isOther) {
             break;
         }
--- a/src/libloomjunction/gateway/permitasker.h
+++ b/src/libloomjunction/gateway/permitasker.h
@@ -43,7 +43,7 @@
     /** Tells what @p replica named, without an answer. */
     void tell(const Replica &replica);
     /** The limit of this life began anew: what was sent until now counts again. */
-    void forgetTold(const std::string &life) { mToldTo.erase(life); }
+    void forgetTold(const std::string &incarnation) { mToldTo.erase(incarnation); }
     /** Ends the streams that nobody used for long. */
     void closeUnused();
     void stop() { mStopped = true; }
@@ -58,7 +58,7 @@
         }
 
         Signal answered;
-        std::string life; ///< of the replica
+        std::string incarnation; ///< of the replica
         std::optional<wire::PermitAnswer> answer;
         bool isOver = false; ///< there will be no answer
         Instant askedAt;
--- a/src/libloomjunction/gateway/permitservice.cpp
+++ b/src/libloomjunction/gateway/permitservice.cpp
@@ -36,10 +36,10 @@
 
 } // namespace
 
-wire::ReplicaLimit limitToTell(const ToldLimit &limit, Instant now)
+wire::ReplicaLimit limitToTell(const ReportedLimit &limit, Instant now)
 {
     wire::ReplicaLimit told;
-    told.set_replica(limit.life);
+    told.set_replica(limit.incarnation);
     if (limit.perSecond) {
         told.set_per_second(*limit.perSecond);
     }
@@ -48,10 +48,10 @@
     return told;
 }
 
-ToldLimit limitTold(const wire::ReplicaLimit &limit, Instant now)
+ReportedLimit limitTold(const wire::ReplicaLimit &limit, Instant now)
 {
-    ToldLimit told;
-    told.life = limit.replica();
+    ReportedLimit told;
+    told.incarnation = limit.replica();
     told.heardAt = before(now, limit.age_us());
     if (limit.has_per_second() && limit.per_second() >= 0) {
         told.perSecond = limit.per_second();
@@ -76,21 +76,21 @@
     return !mMembers->agentOf(query.address()) && !mMembers->homeOf(query.limit().replica());
 }
 
-PermitService::Entry &PermitService::entryOf(const std::string &life)
+PermitService::Entry &PermitService::entryOf(const std::string &incarnation)
 {
     const Instant time = now();
-    if (!mEntries.contains(life)) {
+    if (!mEntries.contains(incarnation)) {
         std::erase_if(mEntries,
                       [&](const auto &item) { return time - item.second.askedAt > sKept; });
     }
-    Entry &entry = mEntries[life];
+    Entry &entry = mEntries[incarnation];
     entry.askedAt = time;
     return entry;
 }
 
 void PermitService::learn(Entry &entry, const wire::PermitQuery &query, Instant now)
 {
-    const ToldLimit told = limitTold(query.limit(), now);
+    const ReportedLimit told = limitTold(query.limit(), now);
     const LimitChange change = entry.limit.hear(told.perSecond, told.heardAt);
     if (change == LimitChange::Begun) {
         entry.permits = SendPermits();
@@ -128,7 +128,7 @@
     return answer;
 }
 
-std::optional<ToldLimit> PermitService::newest() const
+std::optional<ReportedLimit> PermitService::newest() const
 {
     const auto it = mEntries.find(mNewest);
     if (it == mEntries.end()) {
@@ -136,7 +136,7 @@
     }
     const Entry &entry = it->second;
     const Microseconds wait = entry.limit.perSecond() ? entry.permits.wait(now()) : Microseconds(0);
-    return ToldLimit{mNewest, entry.limit.perSecond(), entry.limit.heardAt(), wait};
+    return ReportedLimit{mNewest, entry.limit.perSecond(), entry.limit.heardAt(), wait};
 }
 
 awaitable<void> PermitService::serve(PeerStreamPtr stream)
--- a/src/libloomjunction/gateway/permitservice.h
+++ b/src/libloomjunction/gateway/permitservice.h
@@ -33,8 +33,8 @@
 inline constexpr std::string_view sPermitPath = "/send-permits";
 
 /** What is known of a limit, as a message, and back. */
-wire::ReplicaLimit limitToTell(const ToldLimit &limit, Instant now);
-ToldLimit limitTold(const wire::ReplicaLimit &limit, Instant now);
+wire::ReplicaLimit limitToTell(const ReportedLimit &limit, Instant now);
+ReportedLimit limitTold(const wire::ReplicaLimit &limit, Instant now);
 
 /**
  * Hands out the sends to replicas that named a limit, so that all gateways together keep
@@ -60,7 +60,7 @@
     /** Answers a gateway, which may be this process. */
     wire::PermitAnswer answer(const wire::PermitQuery &query);
     /** Of the replica that was asked for last; nothing: none was. */
-    std::optional<ToldLimit> newest() const;
+    std::optional<ReportedLimit> newest() const;
 
 private:
     /** What is known of one life of a replica. */
@@ -73,7 +73,7 @@
 
     awaitable<void> serve(PeerStreamPtr stream);
     bool handsOutFor(const wire::PermitQuery &query) const;
-    Entry &entryOf(const std::string &life);
+    Entry &entryOf(const std::string &incarnation);
     static void learn(Entry &entry, const wire::PermitQuery &query, Instant now);
 
     std::string mReplica;
--- a/src/libloomjunction/gateway/ports.h
+++ b/src/libloomjunction/gateway/ports.h
@@ -10,8 +10,8 @@
 
 #include "http.h"
 #include "httplink.h"
-#include "lifenotices.h"
 #include "manifest.h"
+#include "noticestate.h"
 #include "recordbook.h"
 #include "replicaset.h"
 #include "routetable.h"
--- a/src/libloomjunction/gateway/quarantineservice.h
+++ b/src/libloomjunction/gateway/quarantineservice.h
@@ -40,7 +40,7 @@
     bool isLeaving = false; ///< its end is planned, by its record or its answers
 
     /** The same at every gateway. */
-    std::string text() const { return id + sLifeMark + std::to_string(born); }
+    std::string text() const { return id + sIncarnationSeparator + std::to_string(born); }
 };
 
 /**
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -8,7 +8,6 @@
 
 #include "replicaservice.h"
 
-#include "askedchoice.h"
 #include "clock.h"
 #include "directconfig.h"
 #include "feedservice.h"
@@ -17,6 +16,7 @@
 #include "metrics.h"
 #include "overload.h"
 #include "permitservice.h"
+#include "probedchoice.h"
 #include "quarantineservice.h"
 
 #include <algorithm>
@@ -92,7 +92,7 @@
         return;
     }
     const Replica *known = mReplicas.find(id);
-    const bool isReborn = known != nullptr && record->isOtherLife(known->record);
+    const bool isReborn = known != nullptr && record->isOtherIncarnation(known->record);
     if (isReborn) {
         closeIdle(id);
     }
@@ -129,7 +129,7 @@
 {
     const auto before = mRecords.replicaRecord(known.key, *known.value);
     const auto after = mRecords.replicaRecord(next.key, *next.value);
-    return before && after && before->isLike(*after);
+    return before && after && before->hasSameContent(*after);
 }
 
 void ReplicaService::stop()
@@ -170,10 +170,10 @@
     if (query.engine == nullptr) {
         co_return mReplicas.choose(query, now());
     }
-    AskedChoice choice(mReplicas, query, silentReplicas());
+    ProbedChoice choice(mReplicas, query, silentReplicas());
     const Instant begun = now();
     while (!choice.isDone()) {
-        co_await askAgents(choice.toAsk(now()));
+        co_await askAgents(choice.replicasToProbe(now()));
         // Late answers to the questions of an earlier round count, too.
         choice.decide(answeredSince(begun, choice.asked()), now() - begun, now());
     }
@@ -208,7 +208,7 @@
         query.service = service.name;
         query.dataCentre = mSettings.dataCentre;
         query.engine = &*service.engine;
-        for (const Replica *replica : mReplicas.neighbours(query, now())) {
+        for (const Replica *replica : mReplicas.subset(query, now())) {
             keepWarm({replica->record.address, replica->patientWaiting});
         }
     }
@@ -244,17 +244,19 @@
 
 void ReplicaService::noteRate(const std::string &id, const NamedRate &rate, Instant sentAt)
 {
-    const LimitChange change = std::visit(
-        Overload{
-            [&](const NoRate &) { return mReplicas.nameNoLimit(id, sentAt, now()); },
-            [&](const RatePerSecond &named) { return mReplicas.nameLimit(id, named.value, now()); },
-            [&](const UnreadableRate &) {
-                mMetrics.count("replica_limits", "unreadable");
-                logLine(LogLevel::Warning, "replica-limit-refused", {{"replica", id}});
-                return LimitChange::Nothing;
-            },
-        },
-        rate);
+    const LimitChange change
+        = std::visit(Overload{
+                         [&](const NoRate &) { return mReplicas.noteNoLimit(id, sentAt, now()); },
+                         [&](const RatePerSecond &named) {
+                             return mReplicas.noteNamedLimit(id, named.value, now());
+                         },
+                         [&](const UnreadableRate &) {
+                             mMetrics.count("replica_limits", "unreadable");
+                             logLine(LogLevel::Warning, "replica-limit-refused", {{"replica", id}});
+                             return LimitChange::Nothing;
+                         },
+                     },
+                     rate);
     if (change == LimitChange::Nothing) {
         return;
     }
@@ -262,71 +264,74 @@
     mPermits->tell(*mReplicas.find(id));
 }
 
-void ReplicaService::noteNotice(const ReplicaLife &life, const ReplicaNotice &notice)
+void ReplicaService::noteNotice(const ReplicaLife &incarnation, const ReplicaNotice &notice)
 {
     for (const std::string &header : notice.unreadable) {
         mMetrics.count("replica_notices", "unreadable");
         logLine(LogLevel::Warning, "replica-notice-refused",
-                {{"replica", life.id}, {"header", header}});
+                {{"replica", incarnation.id}, {"header", header}});
     }
-    const NoticeChange change = mReplicas.hearNotice(life.id, life.born, notice, now());
-    const Replica *replica = mReplicas.find(life.id);
-    if (change.hasBegunToLeave) {
+    const NoticeChange change
+        = mReplicas.applyNotice(incarnation.id, incarnation.born, notice, now());
+    const Replica *replica = mReplicas.find(incarnation.id);
+    if (change.hasStartedLeaving) {
         mMetrics.count("replica_notices", "leaving");
-        logLeaving(life, replica);
-        closeIdle(life.id);
+        logLeaving(incarnation, replica);
+        closeIdle(incarnation.id);
     }
-    if (change.isRestLonger) {
+    if (change.isRestExtended) {
         mMetrics.count("replica_notices", "rest");
-        logRest(life, replica, *notice.rest);
+        logRest(incarnation, replica, *notice.rest);
     }
 }
 
-HeldBack ReplicaService::heldBack(const std::string &id)
+UnavailableReason ReplicaService::unavailableReason(const std::string &id)
 {
     const Replica *replica = mReplicas.find(id);
-    const HeldBack held = replica == nullptr ? HeldBack::Gone : replica->heldBack(now());
-    if (held != HeldBack::Nothing) {
-        mMetrics.count("sends_held_back", heldBackName(held));
+    const UnavailableReason held
+        = replica == nullptr ? UnavailableReason::Gone : replica->unavailableReason(now());
+    if (held != UnavailableReason::Nothing) {
+        mMetrics.count("sends_held_back", unavailableReasonName(held));
     }
     return held;
 }
 
-void ReplicaService::logLeaving(const ReplicaLife &life, const Replica *replica)
+void ReplicaService::logLeaving(const ReplicaLife &incarnation, const Replica *replica)
 {
-    const bool isKnown = replica != nullptr && replica->goneAt == Instant();
+    const bool isKnown = replica != nullptr && replica->removedAt == Instant();
     const std::string_view record = !isKnown ? "gone"
         : replica->record.isDraining         ? "draining"
                                              : "ready";
     logLine(LogLevel::Info, "replica-leaving",
-            {{"replica", life.id},
-             {"born", life.born},
+            {{"replica", incarnation.id},
+             {"born", incarnation.born},
              {"record", record},
              {"inFlight", replica == nullptr ? 0 : replica->inFlight}});
 }
 
-void ReplicaService::logRest(const ReplicaLife &life, const Replica *replica, Microseconds asked)
+void ReplicaService::logRest(const ReplicaLife &incarnation, const Replica *replica,
+                             Microseconds asked)
 {
     const auto askedMs = std::chrono::duration_cast<Milliseconds>(asked);
     logLine(LogLevel::Info, "replica-rest",
-            {{"replica", life.id},
-             {"born", life.born},
+            {{"replica", incarnation.id},
+             {"born", incarnation.born},
              {"askedMs", askedMs.count()},
              {"inFlight", replica == nullptr ? 0 : replica->inFlight},
-             {"sentLately", replica == nullptr ? 0 : replica->sentLately.size()}});
+             {"sentLately", replica == nullptr ? 0 : replica->recentSends.size()}});
 }
 
 void ReplicaService::takeReport(const std::string &address, const ReplicaLoad &load)
 {
     mReplicas.report(address, load, now());
     if (load.limit) {
-        hearLimit(*load.limit);
+        applyLimit(*load.limit);
     }
 }
 
-void ReplicaService::hearLimit(const ToldLimit &told)
+void ReplicaService::applyLimit(const ReportedLimit &told)
 {
-    const LimitChange change = mReplicas.hearLimit(told, now());
+    const LimitChange change = mReplicas.applyLimit(told, now());
     if (change != LimitChange::Nothing) {
         noteLimit(std::string(told.replica()), change);
     }
@@ -343,7 +348,7 @@
                                                                : "ended";
     const Replica *replica = mReplicas.find(id);
     if (change != LimitChange::Changed) {
-        mPermits->forgetTold(replica->record.life());
+        mPermits->forgetTold(replica->record.incarnation());
     }
     mMetrics.count("replica_limits", what);
     // A replica may name another one with each answer.
@@ -364,14 +369,15 @@
     const auto answer = co_await mPermits->ask(*replica);
     if (!answer) {
         mMetrics.count("send_permits", "unanswered");
-        mReplicas.denyUntil(id, now() + sKeeperPause);
+        mReplicas.setRateLimitedUntil(id, now() + sKeeperPause);
         co_return false;
     }
     if (answer->has_limit()) {
-        hearLimit(limitTold(answer->limit(), now()));
+        applyLimit(limitTold(answer->limit(), now()));
     }
     mMetrics.count("send_permits", answer->granted() ? "granted" : "denied");
-    mReplicas.denyUntil(id, now() + Microseconds(static_cast<std::int64_t>(answer->wait_us())));
+    mReplicas.setRateLimitedUntil(
+        id, now() + Microseconds(static_cast<std::int64_t>(answer->wait_us())));
     co_return answer->granted();
 }
 
@@ -383,7 +389,7 @@
 
 Milliseconds ReplicaService::waitedBefore(const std::string &route, Milliseconds timeLeft)
 {
-    mPatience.note(route, timeLeft, mRefused.share(now()));
+    mPatience.note(route, timeLeft, mRefused.ratio(now()));
     return mPatience.waited(route, timeLeft);
 }
 
@@ -481,12 +487,12 @@
 
 void ReplicaService::countHeld()
 {
-    std::map<HeldBack, std::int64_t> held;
+    std::map<UnavailableReason, std::int64_t> held;
     for (const auto &[id, replica] : mReplicas.all()) {
-        ++held[replica.heldBack(now())];
+        ++held[replica.unavailableReason(now())];
     }
-    for (const HeldBack one : {HeldBack::Leaving, HeldBack::Resting}) {
-        mMetrics.set("replicas_held_back", heldBackName(one), held[one]);
+    for (const UnavailableReason one : {UnavailableReason::Leaving, UnavailableReason::Resting}) {
+        mMetrics.set("replicas_held_back", unavailableReasonName(one), held[one]);
     }
 }
 
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -15,7 +15,7 @@
 #include "loadasker.h"
 #include "permitasker.h"
 #include "ports.h"
-#include "refusalshare.h"
+#include "refusalratio.h"
 #include "replicaset.h"
 #include "sharedretrybudget.h"
 
@@ -74,9 +74,9 @@
     /** What an answer of the replica to a request that was sent at @p sentAt says of its rate. */
     void noteRate(const std::string &id, const NamedRate &rate, Instant sentAt);
     /** Asked right before a request is sent to the replica; counts those held back. */
-    HeldBack heldBack(const std::string &id);
+    UnavailableReason unavailableReason(const std::string &id);
     /** What an answer of @p life says of further requests. */
-    void noteNotice(const ReplicaLife &life, const ReplicaNotice &notice);
+    void noteNotice(const ReplicaLife &incarnation, const ReplicaNotice &notice);
     /** Takes one repeat of a request at @p service. */
     bool takeRepeat(const std::string &service);
 
@@ -94,10 +94,10 @@
     };
 
     void takeReport(const std::string &address, const ReplicaLoad &load);
-    void hearLimit(const ToldLimit &told);
+    void applyLimit(const ReportedLimit &told);
     void noteLimit(const std::string &id, LimitChange change);
-    static void logLeaving(const ReplicaLife &life, const Replica *replica);
-    static void logRest(const ReplicaLife &life, const Replica *replica, Microseconds asked);
+    static void logLeaving(const ReplicaLife &incarnation, const Replica *replica);
+    static void logRest(const ReplicaLife &incarnation, const Replica *replica, Microseconds asked);
     SharedRetryBudget &budget(const std::string &service);
     void take(const FeedChange &change);
     awaitable<void> askAgents(std::vector<const Replica *> replicas);
@@ -123,7 +123,7 @@
     std::map<std::string, Pool> mPools; ///< by replica id
     std::map<std::string, SharedRetryBudget> mBudgets;
     CallerPatience mPatience;
-    RefusalShare mRefused; ///< of all requests
+    RefusalRatio mRefused; ///< of all requests
     std::unique_ptr<LoadAsker> mAsker;
     std::unique_ptr<PermitAsker> mPermits;
     DirectConfig *mConfig = nullptr;
--- a/src/libloomjunction/gateway/replicatry.cpp
+++ b/src/libloomjunction/gateway/replicatry.cpp
@@ -88,9 +88,10 @@
         mLink = std::move(*link);
     }
     // What was chosen has waited since, for a permit or a connection.
-    const HeldBack held = mCall.parts.replicas.heldBack(mChosen.id);
+    const UnavailableReason held = mCall.parts.replicas.unavailableReason(mChosen.id);
     const Replica *still = mCall.parts.replicas.replicas().find(mChosen.id);
-    const bool isUnfit = held != HeldBack::Nothing || areWeightsOver(still->weightsVersion());
+    const bool isUnfit
+        = held != UnavailableReason::Nothing || areWeightsOver(still->weightsVersion());
     // The close may wait in the loop behind this, when the process stood still.
     mCall.isCallerGone = mCall.isCallerGone || mCall.exchange.hasCallerLeft();
     if (mCall.isCallerGone || mCall.isTimeOver) {
--- a/tests/direct/overloadlab.cpp
+++ b/tests/direct/overloadlab.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-constexpr int sReportMs = 50;
+constexpr int sReportIntervalMs = 50;
 constexpr int sDeadlineMs = 6'000;
-constexpr int sSilenceMs = 2'400; // callers leave when no event comes for so long
+constexpr int sFirstEventTimeoutMs = 2'400; // callers leave when no event comes for so long
 // Of the users' rules: what is judged of a rest, and of a leaving.
-constexpr int sNotJudgedMs = 500;
+constexpr int sRestGraceMs = 500;
 constexpr int sDrainMs = 2'000;
-constexpr std::size_t sMostTries = 2;
+constexpr std::size_t sMaxAttempts = 2;
 constexpr Milliseconds sRefusedComeBack{200};
 const std::string sService = "scorer";
 
@@ -40,7 +40,7 @@
     for (ReplicaSet &gateway : mGateways) {
         for (std::size_t engine = 0; engine < mEngines.size(); ++engine) {
             ReplicaRecord record;
-            record.id = idOf(engine);
+            record.id = replicaId(engine);
             record.service = sService;
             record.address = "10.0.0.1:" + std::to_string(engine + 1);
             record.dataCentre = dataCentreOf(engine);
@@ -56,7 +56,7 @@
     return "z" + std::to_string(index % mShape.dataCentres);
 }
 
-std::string OverloadLab::idOf(std::size_t engine) const
+std::string OverloadLab::replicaId(std::size_t engine) const
 {
     return "r" + std::to_string(engine);
 }
@@ -64,12 +64,12 @@
 double OverloadLab::capacity() const
 {
     const EngineModel model(mShape.figures);
-    return 1'000.0 / model.turn() * static_cast<double>(mEngines.size());
+    return 1'000.0 / model.completionIntervalMs() * static_cast<double>(mEngines.size());
 }
 
 OverloadLab::Second &OverloadLab::secondOf(const Request &request)
 {
-    return mSeconds[static_cast<std::size_t>(request.firstTryAt / 1'000)];
+    return mSeconds[static_cast<std::size_t>(request.firstAttemptAt / 1'000)];
 }
 
 std::vector<OverloadLab::Second> OverloadLab::play(const std::vector<Phase> &phases)
@@ -88,34 +88,35 @@
         for (int count = time < end ? arrivals(mRandom) : 0; count > 0; --count) {
             auto request = std::make_shared<Request>();
             request->gateway = mRandom() % mGateways.size();
-            request->firstTryAt = time;
+            request->firstAttemptAt = time;
             request->prompt = mShape.figures.usualPrompt * std::min(3.0, 0.3 + 0.7 * tail(mRandom));
             const double events = mShape.figures.usualAnswer / mShape.figures.stepsPerPass;
             request->eventsLeft = 1 + static_cast<int>((events - 1) * std::min(3.0, tail(mRandom)));
             ++secondOf(*request).asked;
             call(std::move(request), time);
         }
-        while (!mReturning.empty() && mReturning.begin()->first <= time) {
-            const RequestPtr request = mReturning.begin()->second;
-            mReturning.erase(mReturning.begin());
+        while (!mRetries.empty() && mRetries.begin()->first <= time) {
+            const RequestPtr request = mRetries.begin()->second;
+            mRetries.erase(mRetries.begin());
             call(request, time);
         }
-        while (!mOnTheWay.empty() && mOnTheWay.begin()->first <= time) {
-            const RequestPtr request = mOnTheWay.begin()->second;
-            mOnTheWay.erase(mOnTheWay.begin());
+        while (!mInTransit.empty() && mInTransit.begin()->first <= time) {
+            const RequestPtr request = mInTransit.begin()->second;
+            mInTransit.erase(mInTransit.begin());
             arrive(request, time);
         }
         while (!mRefusals.empty() && mRefusals.begin()->first <= time) {
             const RequestPtr request = mRefusals.begin()->second;
             mRefusals.erase(mRefusals.begin());
-            takeRefusal(request, time);
+            handleRefusal(request, time);
         }
-        giveUp(time);
+        abandonWaiting(time);
         for (std::size_t engine = 0; engine < mEngines.size(); ++engine) {
             runEngine(mEngines[engine], time);
             // Stagers look at different moments.
-            const bool isDue = time % sReportMs == static_cast<int>(engine * 7 % sReportMs);
-            if (isDue && !mShape.isAsked) {
+            const bool isDue
+                = time % sReportIntervalMs == static_cast<int>(engine * 7 % sReportIntervalMs);
+            if (isDue && !mShape.probesAgents) {
                 report(engine, time);
             }
         }
@@ -133,13 +134,13 @@
     query.dataCentre = dataCentre;
     query.engine = &mShape.figures;
     query.goal = mShape.goal;
-    query.waited = Milliseconds(time - request->firstTryAt);
+    query.waited = Milliseconds(time - request->firstAttemptAt);
     query.promptTokens = request->prompt;
-    query.leastVersion = 1;
-    query.entries = static_cast<std::uint32_t>(mGateways.size());
+    query.minVersion = 1;
+    query.gatewayCount = static_cast<std::uint32_t>(mGateways.size());
     query.random = mRandom();
     query.excluded = request->refusedBy;
-    query.timeLeft = Milliseconds(sDeadlineMs - (time - request->firstTryAt));
+    query.timeLeft = Milliseconds(sDeadlineMs - (time - request->firstAttemptAt));
     const ReplicaChoice choice = choose(request->gateway, query, time);
     gateway.noteChoice(query, choice, at(time));
     if (const auto *chosen = std::get_if<ChosenReplica>(&choice)) {
@@ -148,7 +149,7 @@
         request->sentAt = time;
         gateway.began(chosen->id, chosen->isPatient, at(time));
         mEngines[request->engine].claims.note(at(time));
-        mOnTheWay.emplace(time + mShape.wayMs, std::move(request));
+        mInTransit.emplace(time + mShape.transitMs, std::move(request));
         return;
     }
     const auto *busy = std::get_if<AllBusy>(&choice);
@@ -158,17 +159,17 @@
 
 void OverloadLab::comeBack(RequestPtr request, int wait, int time)
 {
-    if (request->isReturn) {
+    if (request->isRetry) {
         ++secondOf(*request).refused;
         return;
     }
-    request->isReturn = true;
+    request->isRetry = true;
     request->refusedBy.clear();
     if (mShape.restMs > 0) {
         request->gateway = mRandom() % mGateways.size(); // a rest is of one gateway
     }
-    const int third = (sDeadlineMs - (time - request->firstTryAt)) / 3;
-    mReturning.emplace(time + mShape.wayMs + std::min(wait, third), std::move(request));
+    const int third = (sDeadlineMs - (time - request->firstAttemptAt)) / 3;
+    mRetries.emplace(time + mShape.transitMs + std::min(wait, third), std::move(request));
 }
 
 bool OverloadLab::isLeaving(std::size_t engine, int time) const
@@ -178,67 +179,67 @@
 
 void OverloadLab::arrive(const RequestPtr &request, int time)
 {
-    judge(*request, time);
+    checkNotices(*request, time);
     Engine &engine = mEngines[request->engine];
     const std::size_t held = engine.waiting.size() + engine.inPass.size();
-    if (mShape.mostHeld == 0 || held < mShape.mostHeld) {
+    if (mShape.maxHeld == 0 || held < mShape.maxHeld) {
         engine.waiting.push_back(request);
         return;
     }
-    ++mNotices.turnedAway;
+    ++mNotices.rejections;
     if (mShape.restMs > 0) {
-        engine.rests[request->gateway].push_back({time + sNotJudgedMs, time + mShape.restMs, 0});
+        engine.rests[request->gateway].push_back({time + sRestGraceMs, time + mShape.restMs, 0});
         ++mNotices.rests;
     }
-    mRefusals.emplace(time + mShape.wayMs, request);
+    mRefusals.emplace(time + mShape.transitMs, request);
 }
 
-void OverloadLab::judge(const Request &request, int time)
+void OverloadLab::checkNotices(const Request &request, int time)
 {
     Engine &engine = mEngines[request.engine];
     for (Rest &rest : engine.rests[request.gateway]) {
         if (rest.from <= time && time < rest.until) {
-            mNotices.mostInRest = std::max(mNotices.mostInRest, ++rest.requests);
+            mNotices.maxDuringRest = std::max(mNotices.maxDuringRest, ++rest.requests);
         }
     }
-    const auto told = engine.toldLeavingAt.find(request.gateway);
-    const bool isTold = told != engine.toldLeavingAt.end();
-    mNotices.afterLeaving += isTold && time > told->second + sDrainMs ? 1 : 0;
+    const auto told = engine.announcedLeavingAt.find(request.gateway);
+    const bool isTold = told != engine.announcedLeavingAt.end();
+    mNotices.sentAfterLeaving += isTold && time > told->second + sDrainMs ? 1 : 0;
 }
 
-void OverloadLab::tellLeaving(const Request &request, int time)
+void OverloadLab::announceLeaving(const Request &request, int time)
 {
     if (!isLeaving(request.engine, time)) {
         return;
     }
     const bool isFirst
-        = mEngines[request.engine].toldLeavingAt.try_emplace(request.gateway, time).second;
-    mNotices.toldLeaving += isFirst ? 1 : 0;
-    if (mShape.hearsNotices) {
-        mGateways[request.gateway].hearNotice(idOf(request.engine), 0, {true, std::nullopt, {}},
-                                              at(time));
+        = mEngines[request.engine].announcedLeavingAt.try_emplace(request.gateway, time).second;
+    mNotices.announcedLeaving += isFirst ? 1 : 0;
+    if (mShape.readsNotices) {
+        mGateways[request.gateway].applyNotice(replicaId(request.engine), 0,
+                                               {true, std::nullopt, {}}, at(time));
     }
 }
 
-void OverloadLab::takeRefusal(const RequestPtr &request, int time)
+void OverloadLab::handleRefusal(const RequestPtr &request, int time)
 {
     ReplicaSet &gateway = mGateways[request->gateway];
-    const std::string id = idOf(request->engine);
+    const std::string id = replicaId(request->engine);
     gateway.answerMissed(id, request->isPatient);
     gateway.ended(id, ReplicaOutcome::Refused, at(time));
-    tellLeaving(*request, time);
-    if (mShape.hearsNotices && mShape.restMs > 0) {
-        gateway.hearNotice(id, 0, {false, Milliseconds(mShape.restMs), {}}, at(time));
+    announceLeaving(*request, time);
+    if (mShape.readsNotices && mShape.restMs > 0) {
+        gateway.applyNotice(id, 0, {false, Milliseconds(mShape.restMs), {}}, at(time));
     }
     request->refusedBy.push_back(id);
-    if (request->refusedBy.size() < sMostTries) {
+    if (request->refusedBy.size() < sMaxAttempts) {
         call(request, time);
         return;
     }
     ReplicaQuery query;
     query.service = sService;
     query.random = mRandom();
-    const auto held = gateway.heldFor(query, at(time)).value_or(sRefusedComeBack);
+    const auto held = gateway.retryDelayIfPaused(query, at(time)).value_or(sRefusedComeBack);
     comeBack(request, static_cast<int>(held.count()), time);
 }
 
@@ -247,33 +248,33 @@
 ReplicaChoice OverloadLab::choose(std::size_t gateway, const ReplicaQuery &query, int time)
 {
     ReplicaSet &replicas = mGateways[gateway];
-    if (!mShape.isAsked) {
+    if (!mShape.probesAgents) {
         return replicas.choose(query, at(time));
     }
-    AskedChoice choice(replicas, query, {});
+    ProbedChoice choice(replicas, query, {});
     while (!choice.isDone()) {
-        for (const Replica *replica : choice.toAsk(at(time))) {
+        for (const Replica *replica : choice.replicasToProbe(at(time))) {
             const std::string &id = replica->record.id;
             const auto engine = static_cast<std::size_t>(std::stoul(id.substr(1)));
-            replicas.report("10.0.0.1:" + std::to_string(engine + 1), answerOf(engine, time),
+            replicas.report("10.0.0.1:" + std::to_string(engine + 1), probeAnswer(engine, time),
                             at(time));
-            ++mQuestions;
+            ++mProbes;
         }
         choice.decide({choice.asked().begin(), choice.asked().end()}, Microseconds(0), at(time));
     }
     return choice.choice();
 }
 
-void OverloadLab::giveUp(int time)
+void OverloadLab::abandonWaiting(int time)
 {
     for (Engine &engine : mEngines) {
         std::erase_if(engine.waiting, [&](const RequestPtr &request) {
-            if (time - request->sentAt < sSilenceMs) {
+            if (time - request->sentAt < sFirstEventTimeoutMs) {
                 return false;
             }
             ReplicaSet &gateway = mGateways[request->gateway];
-            gateway.answerMissed(idOf(request->engine), request->isPatient);
-            gateway.ended(idOf(request->engine), ReplicaOutcome::Abandoned, at(time));
+            gateway.answerMissed(replicaId(request->engine), request->isPatient);
+            gateway.ended(replicaId(request->engine), ReplicaOutcome::Abandoned, at(time));
             ++secondOf(*request).refused;
             return true;
         });
@@ -294,16 +295,16 @@
     for (const RequestPtr &request : engine.inPass) {
         if (!request->hasBegun) {
             request->hasBegun = true;
-            const int took = time + mShape.wayMs - request->firstTryAt;
+            const int took = time + mShape.transitMs - request->firstAttemptAt;
             const bool isInTime = took <= mShape.goal.count();
             ++(isInTime ? secondOf(*request).inTime : secondOf(*request).late);
-            tellLeaving(*request, time);
-            mGateways[request->gateway].answerBegan(idOf(request->engine), request->isPatient,
+            announceLeaving(*request, time);
+            mGateways[request->gateway].answerBegan(replicaId(request->engine), request->isPatient,
                                                     Milliseconds(time - request->sentAt));
         }
         --request->eventsLeft;
         if (request->eventsLeft <= 0) {
-            mGateways[request->gateway].ended(idOf(request->engine), ReplicaOutcome::Answered,
+            mGateways[request->gateway].ended(replicaId(request->engine), ReplicaOutcome::Answered,
                                               at(time));
         }
     }
@@ -318,18 +319,18 @@
     const EngineModel model(mShape.figures);
     double length = 0;
     while (!engine.waiting.empty() && engine.inPass.size() < mShape.figures.slots) {
-        length += model.read(engine.waiting.front()->prompt);
+        length += model.promptReadMs(engine.waiting.front()->prompt);
         engine.inPass.push_back(engine.waiting.front());
         engine.waiting.pop_front();
     }
     if (engine.inPass.empty()) {
         return;
     }
-    length += model.pass(static_cast<double>(engine.inPass.size()));
+    length += model.passMs(static_cast<double>(engine.inPass.size()));
     engine.passEndsAt = time + std::max(1, static_cast<int>(length));
 }
 
-ReplicaLoad OverloadLab::loadOf(std::size_t engine) const
+ReplicaLoad OverloadLab::engineLoadReport(std::size_t engine) const
 {
     ReplicaLoad load;
     load.weightsVersion = 1;
@@ -344,19 +345,19 @@
 }
 
 // What the agent of the engine answers a gateway.
-ReplicaLoad OverloadLab::answerOf(std::size_t engine, int time)
+ReplicaLoad OverloadLab::probeAnswer(std::size_t engine, int time)
 {
-    ReplicaLoad load = loadOf(engine);
-    if (mShape.hasClaims) {
-        load.hasClaims = true;
-        load.waiting += mEngines[engine].claims.unseenBy(at(time));
+    ReplicaLoad load = engineLoadReport(engine);
+    if (mShape.includesInTransit) {
+        load.includesInTransit = true;
+        load.waiting += mEngines[engine].claims.notVisibleAt(at(time));
     }
     return load;
 }
 
 void OverloadLab::report(std::size_t engine, int time)
 {
-    const ReplicaLoad load = loadOf(engine);
+    const ReplicaLoad load = engineLoadReport(engine);
     for (ReplicaSet &gateway : mGateways) {
         gateway.report("10.0.0.1:" + std::to_string(engine + 1), load, at(time));
     }
--- a/tests/direct/overloadlab.h
+++ b/tests/direct/overloadlab.h
@@ -8,9 +8,9 @@
 
 #pragma once
 
-#include "askedchoice.h"
-#include "claimcount.h"
 #include "enginemodel.h"
+#include "intransitcount.h"
+#include "probedchoice.h"
 #include "replicaset.h"
 
 #include <cstdint>
@@ -41,13 +41,13 @@
         std::uint64_t seed = 1;
         std::size_t dataCentres = 1;
         /** Gateways ask agents before each choice; otherwise reports come by themselves. */
-        bool isAsked = false;
-        bool hasClaims = true; ///< and tell them at once what they send
-        int wayMs = 4; ///< from a choice until the request is at the engine
+        bool probesAgents = false;
+        bool includesInTransit = true; ///< and tell them at once what they send
+        int transitMs = 4; ///< from a choice until the request is at the engine
         /** An engine with so many requests turns further ones away; zero: none does. */
-        std::size_t mostHeld = 0;
+        std::size_t maxHeld = 0;
         int restMs = 0; ///< that it asks for with each such refusal
-        bool hearsNotices = true; ///< gateways read what engines say of themselves
+        bool readsNotices = true; ///< gateways read what engines say of themselves
         std::size_t leaving = 0; ///< engines that say from leaveAtMs on that they leave
         int leaveAtMs = 0;
     };
@@ -56,10 +56,10 @@
     struct Notices
     {
         int rests = 0; ///< that were asked for
-        int mostInRest = 0; ///< requests from one gateway, half a second after it was asked
-        int turnedAway = 0;
-        int afterLeaving = 0; ///< requests, once the drain time was over
-        int toldLeaving = 0; ///< gateways that an engine told so, for each engine
+        int maxDuringRest = 0; ///< requests from one gateway, half a second after it was asked
+        int rejections = 0;
+        int sentAfterLeaving = 0; ///< requests, once the drain time was over
+        int announcedLeaving = 0; ///< gateways that an engine told so, for each engine
     };
 
     /** Calls a second for some seconds. */
@@ -81,7 +81,7 @@
     explicit OverloadLab(Shape shape);
 
     /** Questions that agents were asked. */
-    std::uint64_t questions() const { return mQuestions; }
+    std::uint64_t probes() const { return mProbes; }
     const Notices &notices() const { return mNotices; }
     /** One entry a second. */
     std::vector<Second> play(const std::vector<Phase> &phases);
@@ -93,12 +93,12 @@
     {
         std::size_t gateway = 0;
         std::size_t engine = 0;
-        int firstTryAt = 0;
+        int firstAttemptAt = 0;
         int sentAt = 0;
         double prompt = 0;
         int eventsLeft = 0;
         bool isPatient = false;
-        bool isReturn = false;
+        bool isRetry = false;
         bool hasBegun = false;
         std::vector<std::string> refusedBy;
     };
@@ -116,39 +116,39 @@
         std::deque<RequestPtr> waiting;
         std::vector<RequestPtr> inPass; ///< hold a slot, the first event to come or come already
         int passEndsAt = 0;
-        ClaimCount claims;
+        InTransitCount claims;
         std::map<std::size_t, std::vector<Rest>> rests; ///< by gateway
-        std::map<std::size_t, int> toldLeavingAt; ///< by gateway
+        std::map<std::size_t, int> announcedLeavingAt; ///< by gateway
     };
 
     void call(RequestPtr request, int time);
     void arrive(const RequestPtr &request, int time);
-    void takeRefusal(const RequestPtr &request, int time);
-    void judge(const Request &request, int time);
-    void tellLeaving(const Request &request, int time);
+    void handleRefusal(const RequestPtr &request, int time);
+    void checkNotices(const Request &request, int time);
+    void announceLeaving(const Request &request, int time);
     bool isLeaving(std::size_t engine, int time) const;
     void comeBack(RequestPtr request, int wait, int time);
-    void giveUp(int time);
+    void abandonWaiting(int time);
     void runEngine(Engine &engine, int time);
     void endPass(Engine &engine, int time);
     void beginPass(Engine &engine, int time);
     ReplicaChoice choose(std::size_t gateway, const ReplicaQuery &query, int time);
-    ReplicaLoad loadOf(std::size_t engine) const;
-    ReplicaLoad answerOf(std::size_t engine, int time);
+    ReplicaLoad engineLoadReport(std::size_t engine) const;
+    ReplicaLoad probeAnswer(std::size_t engine, int time);
     void report(std::size_t engine, int time);
     std::string dataCentreOf(std::size_t index) const;
     Second &secondOf(const Request &request);
-    std::string idOf(std::size_t engine) const;
+    std::string replicaId(std::size_t engine) const;
 
     Shape mShape;
     std::vector<Engine> mEngines;
     std::vector<ReplicaSet> mGateways;
-    std::multimap<int, RequestPtr> mOnTheWay; ///< to an engine, by arrival
+    std::multimap<int, RequestPtr> mInTransit; ///< to an engine, by arrival
     std::multimap<int, RequestPtr> mRefusals; ///< of engines, by arrival at the gateway
-    std::multimap<int, RequestPtr> mReturning; ///< by when the caller comes back
+    std::multimap<int, RequestPtr> mRetries; ///< by when the caller comes back
     std::vector<Second> mSeconds;
     std::mt19937_64 mRandom;
-    std::uint64_t mQuestions = 0;
+    std::uint64_t mProbes = 0;
     Notices mNotices;
 };
 
--- a/tests/direct/test_answertimes.cpp
+++ b/tests/direct/test_answertiming.cpp
@@ -1,5 +1,5 @@
 /*
- * test_answertimes.cpp
+ * test_answertiming.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,7 +8,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "answertimes.h"
+#include "answertiming.h"
 
 using namespace Loom;
 
@@ -29,13 +29,13 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_answer_is_late_by_its_first_byte_its_pauses_or_what_was_before)
+BOOST_AUTO_TEST_CASE(lateness_cause_is_the_first_byte_a_pause_or_the_wait_before)
 {
-    AnswerTimes none(at(0));
+    AnswerTiming none(at(0));
     BOOST_TEST(none.latenessCause(route(), 1).empty());
-    AnswerTimes good(at(0));
-    BOOST_TEST(good.noteBegun(at(400)));
-    BOOST_TEST(!good.noteBegun(at(900)));
+    AnswerTiming good(at(0));
+    BOOST_TEST(good.noteStart(at(400)));
+    BOOST_TEST(!good.noteStart(at(900)));
     BOOST_TEST((good.first() == Milliseconds(400)));
     good.noteEvents(at(400));
     good.noteEvents(at(700));
@@ -45,14 +45,14 @@
     BOOST_TEST(good.latenessCause(route(), 1) == "pause");
     BOOST_TEST(good.latenessCause(route(), 2) == "pause of a resumed stream");
 
-    AnswerTimes slow(at(0));
-    slow.noteBegun(at(401));
+    AnswerTiming slow(at(0));
+    slow.noteStart(at(401));
     BOOST_TEST(slow.latenessCause(route(), 1) == "first event");
     BOOST_TEST(slow.latenessCause(route(), 2) == "sent again");
 
-    AnswerTimes back(at(0));
+    AnswerTiming back(at(0));
     back.setWaitedBefore(Milliseconds(300));
-    back.noteBegun(at(101));
+    back.noteStart(at(101));
     BOOST_TEST(back.latenessCause(route(), 1) == "first event");
     back.setWaitedBefore(Milliseconds(401));
     BOOST_TEST(back.latenessCause(route(), 1) == "came back late");
--- a/tests/direct/test_callrate.cpp
+++ b/tests/direct/test_callrate.cpp
@@ -13,7 +13,7 @@
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(a_steady_rate_is_told_and_forgotten_within_seconds)
+BOOST_AUTO_TEST_CASE(steady_rate_is_measured_and_decays_within_seconds)
 {
     CallRate rate;
     for (int call = 0; call < 500; ++call) {
@@ -23,7 +23,7 @@
     BOOST_TEST(rate.perMs(at(15'000)) < 0.001);
 }
 
-BOOST_AUTO_TEST_CASE(the_shortest_goal_is_one_that_a_fair_part_of_the_calls_has)
+BOOST_AUTO_TEST_CASE(shortest_goal_ignores_goals_of_few_calls)
 {
     CallRate rate;
     BOOST_TEST((rate.shortestGoal() == Milliseconds::max()));
--- /dev/null
+++ b/tests/direct/test_intransitcount.cpp
@@ -0,0 +1,28 @@
+/*
+ * test_intransitcount.cpp
+ * Copyright 2026, the loomjunction authors
+ *
+ * This file is part of loomjunction (tests).
+ * SPDX-License-Identifier: BSD-2-Clause
+ */
+
+#include <boost/test/unit_test.hpp>
+
+#include "fakelog.h"
+#include "intransitcount.h"
+
+using namespace Loom;
+
+BOOST_AUTO_TEST_CASE(request_counts_until_an_engine_report_can_include_it)
+{
+    InTransitCount claims;
+    BOOST_TEST(claims.notVisibleAt(at(0)) == 0U);
+    claims.note(at(100));
+    claims.note(at(103));
+    // The look was made before, or while they were on their way.
+    BOOST_TEST(claims.notVisibleAt(at(95)) == 2U);
+    BOOST_TEST(claims.notVisibleAt(at(101)) == 2U);
+    BOOST_TEST(claims.notVisibleAt(at(107)) == 1U);
+    BOOST_TEST(claims.notVisibleAt(at(120)) == 0U);
+    BOOST_TEST(claims.notVisibleAt(at(121)) == 0U);
+}
--- a/tests/direct/test_notices.cpp
+++ b/tests/direct/test_notices.cpp
@@ -43,20 +43,20 @@
     return std::holds_alternative<ChosenReplica>(set.choose(query, at(milliseconds)));
 }
 
-HeldBack heldBack(const ReplicaSet &set, int milliseconds)
+UnavailableReason unavailableReason(const ReplicaSet &set, int milliseconds)
 {
-    return set.find("r1")->heldBack(at(milliseconds));
+    return set.find("r1")->unavailableReason(at(milliseconds));
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_leaving_is_taken_back_by_what_others_say_of_the_same_life)
+BOOST_AUTO_TEST_CASE(leaving_notice_outlasts_later_records_of_the_same_incarnation)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", 7), at(0));
-    BOOST_TEST(set.hearNotice("r1", 7, sLeaves, at(10)).hasBegunToLeave);
-    BOOST_TEST(!set.hearNotice("r1", 7, sLeaves, at(11)).hasBegunToLeave);
-    BOOST_TEST(!set.hearNotice("r1", 7, {}, at(12)).hasBegunToLeave);
+    BOOST_TEST(set.applyNotice("r1", 7, sLeaves, at(10)).hasStartedLeaving);
+    BOOST_TEST(!set.applyNotice("r1", 7, sLeaves, at(11)).hasStartedLeaving);
+    BOOST_TEST(!set.applyNotice("r1", 7, {}, at(12)).hasStartedLeaving);
     BOOST_TEST(!isOpen(set, 12));
     set.put(record("r1", 7), at(20));
     BOOST_TEST(!isOpen(set, 20));
@@ -68,7 +68,7 @@
     set.sweep(at(60));
     BOOST_TEST(set.find("r1") == nullptr);
     set.put(record("r1", 7), at(70));
-    BOOST_TEST((heldBack(set, 70) == HeldBack::Leaving));
+    BOOST_TEST((unavailableReason(set, 70) == UnavailableReason::Leaving));
     // A record without a start may be of any life.
     set.remove("r1", true, Microseconds(0), at(80));
     set.sweep(at(90));
@@ -76,70 +76,70 @@
     BOOST_TEST(!isOpen(set, 100));
 }
 
-BOOST_AUTO_TEST_CASE(a_new_life_is_held_back_by_what_an_earlier_one_said)
+BOOST_AUTO_TEST_CASE(new_incarnation_ignores_notices_of_an_earlier_one)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", 7), at(0));
-    set.hearNotice("r1", 7, sLeaves, at(10));
-    set.hearNotice("r1", 7, restsFor(Milliseconds(5'000)), at(10));
+    set.applyNotice("r1", 7, sLeaves, at(10));
+    set.applyNotice("r1", 7, restsFor(Milliseconds(5'000)), at(10));
     set.put(record("r1", 8), at(20));
     BOOST_TEST(isOpen(set, 20));
     // A late answer of the earlier life, and its record, read anew from a store that is behind.
-    set.hearNotice("r1", 7, restsFor(Milliseconds(5'000)), at(30));
+    set.applyNotice("r1", 7, restsFor(Milliseconds(5'000)), at(30));
     BOOST_TEST(isOpen(set, 30));
     set.put(record("r1", 7), at(40));
-    BOOST_TEST((heldBack(set, 40) == HeldBack::Leaving));
+    BOOST_TEST((unavailableReason(set, 40) == UnavailableReason::Leaving));
     set.put(record("r1", 8), at(50));
     BOOST_TEST(isOpen(set, 50));
 }
 
-BOOST_AUTO_TEST_CASE(a_notice_is_lost_that_came_before_the_record)
+BOOST_AUTO_TEST_CASE(notice_received_before_the_record_is_kept)
 {
     ReplicaSet set(sDrainTime);
-    BOOST_TEST(set.hearNotice("r1", 0, sLeaves, at(0)).hasBegunToLeave);
+    BOOST_TEST(set.applyNotice("r1", 0, sLeaves, at(0)).hasStartedLeaving);
     set.sweep(at(10));
     set.put(record("r1", 7), at(20));
     BOOST_TEST(!isOpen(set, 20));
 }
 
-BOOST_AUTO_TEST_CASE(a_rest_ends_with_a_shorter_one_that_came_later)
+BOOST_AUTO_TEST_CASE(later_shorter_rest_does_not_end_a_longer_one)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1"), at(0));
-    BOOST_TEST(set.hearNotice("r1", 0, restsFor(Milliseconds(3'000)), at(0)).isRestLonger);
-    BOOST_TEST(!set.hearNotice("r1", 0, restsFor(Milliseconds(100)), at(10)).isRestLonger);
-    BOOST_TEST(!set.hearNotice("r1", 0, restsFor(Microseconds(0)), at(20)).isRestLonger);
+    BOOST_TEST(set.applyNotice("r1", 0, restsFor(Milliseconds(3'000)), at(0)).isRestExtended);
+    BOOST_TEST(!set.applyNotice("r1", 0, restsFor(Milliseconds(100)), at(10)).isRestExtended);
+    BOOST_TEST(!set.applyNotice("r1", 0, restsFor(Microseconds(0)), at(20)).isRestExtended);
     BOOST_TEST(!isOpen(set, 2'999));
-    BOOST_TEST((heldBack(set, 2'999) == HeldBack::Resting));
+    BOOST_TEST((unavailableReason(set, 2'999) == UnavailableReason::Resting));
     BOOST_TEST(isOpen(set, 3'000));
     BOOST_TEST(
-        set.hearNotice("r1", 0, restsFor(std::chrono::hours(9'000)), at(3'000)).isRestLonger);
+        set.applyNotice("r1", 0, restsFor(std::chrono::hours(9'000)), at(3'000)).isRestExtended);
     BOOST_TEST(!isOpen(set, 24 * 3'600'000));
 }
 
-BOOST_AUTO_TEST_CASE(callers_come_back_into_the_rest_of_all_replicas)
+BOOST_AUTO_TEST_CASE(callers_are_told_to_retry_after_all_rests_end)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1"), at(0));
     set.put(record("r2"), at(0));
-    set.hearNotice("r1", 0, restsFor(Milliseconds(900)), at(0));
+    set.applyNotice("r1", 0, restsFor(Milliseconds(900)), at(0));
     ReplicaQuery query;
     query.service = "plain";
-    BOOST_TEST(!set.heldFor(query, at(1)).has_value());
+    BOOST_TEST(!set.retryDelayIfPaused(query, at(1)).has_value());
     set.ended("r2", ReplicaOutcome::Refused, at(1));
-    set.hearNotice("r2", 0, restsFor(Milliseconds(700)), at(1));
+    set.applyNotice("r2", 0, restsFor(Milliseconds(700)), at(1));
     const ReplicaChoice choice = set.choose(query, at(1));
     const auto *busy = std::get_if<AllBusy>(&choice);
     BOOST_REQUIRE(busy != nullptr);
-    BOOST_TEST(busy->isHeld);
+    BOOST_TEST(busy->areAllPaused);
     BOOST_TEST(busy->comeBack.count() >= 700);
-    BOOST_TEST(set.heldFor(query, at(1))->count() >= 700);
-    BOOST_TEST(set.heldByNotices("plain", at(1)) == "r1 resting, r2 resting");
+    BOOST_TEST(set.retryDelayIfPaused(query, at(1))->count() >= 700);
+    BOOST_TEST(set.pausedByNotices("plain", at(1)) == "r1 resting, r2 resting");
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_is_filled_again_to_where_it_asked_for_rest)
+BOOST_AUTO_TEST_CASE(concurrency_limit_recovers_by_doubling_or_by_time)
 {
-    FillLevel level;
+    ConcurrencyLimit level;
     BOOST_TEST(!level.most(at(0)).has_value());
     level.noteAnswer();
     BOOST_TEST(!level.most(at(0)).has_value());
@@ -160,12 +160,12 @@
     BOOST_TEST((level.most(at(100'000)) == std::optional<double>(16)));
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_refused_all_is_sent_many_at_once_after_its_rest)
+BOOST_AUTO_TEST_CASE(replica_that_refused_all_gets_one_request_at_a_time_after_its_rest)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1"), at(0));
     set.began("r1", false, at(0));
-    set.hearNotice("r1", 0, restsFor(Milliseconds(100)), at(1));
+    set.applyNotice("r1", 0, restsFor(Milliseconds(100)), at(1));
     set.ended("r1", ReplicaOutcome::Refused, at(1));
     BOOST_TEST(isOpen(set, 101));
     set.began("r1", false, at(101));
@@ -184,7 +184,7 @@
     shape.gateways = gateways;
     shape.engines = engines;
     shape.dataCentres = 3;
-    shape.isAsked = true;
+    shape.probesAgents = true;
     shape.figures.slots = 16;
     shape.figures.stepMs = 7;
     shape.figures.perSequenceMs = 0.03;
@@ -196,7 +196,7 @@
     return shape;
 }
 
-constexpr int sAllowedInRest = 2;
+constexpr int sMaxDuringRest = 2;
 constexpr int sSeconds = 16;
 constexpr double sLoads[] = {0.6, 1.0, 1.3};
 
@@ -220,38 +220,39 @@
         asked += second.asked;
     }
     const OverloadLab::Notices &notices = lab.notices();
-    BOOST_TEST_MESSAGE(shape.gateways
-                       << " gateways, " << shape.engines << " engines, load " << load << ", " << way
-                       << ": in time " << inTime << ", late " << late << " of " << asked
-                       << "; turned away " << notices.turnedAway << ", rests " << notices.rests
-                       << ", most in one " << notices.mostInRest << "; told of a leaving "
-                       << notices.toldLeaving << ", requests after it " << notices.afterLeaving);
+    BOOST_TEST_MESSAGE(shape.gateways << " gateways, " << shape.engines << " engines, load " << load
+                                      << ", " << way << ": in time " << inTime << ", late " << late
+                                      << " of " << asked << "; turned away " << notices.rejections
+                                      << ", rests " << notices.rests << ", most in one "
+                                      << notices.maxDuringRest << "; told of a leaving "
+                                      << notices.announcedLeaving << ", requests after it "
+                                      << notices.sentAfterLeaving);
     return notices;
 }
 
 } // namespace
 
 // Engines that hold as many requests as they have slots turn others away.
-BOOST_AUTO_TEST_CASE(engines_that_rest_get_requests_of_gateways_that_they_told)
+BOOST_AUTO_TEST_CASE(resting_engines_get_few_requests_from_gateways_that_they_told)
 {
     for (const Size size : sSizes) {
         for (const double load : sLoads) {
             OverloadLab::Shape lab = shape(1, size.gateways, size.engines);
-            lab.mostHeld = lab.figures.slots;
+            lab.maxHeld = lab.figures.slots;
             play(lab, load, "nobody asks for rest");
             lab.restMs = 3'000;
             const auto heeded = play(lab, load, "rests heeded");
-            BOOST_TEST(heeded.mostInRest <= sAllowedInRest);
+            BOOST_TEST(heeded.maxDuringRest <= sMaxDuringRest);
             BOOST_TEST((load < 1 || heeded.rests > 0));
-            lab.hearsNotices = false;
+            lab.readsNotices = false;
             const auto unread = play(lab, load, "rests not read");
-            BOOST_TEST((load < 1 || unread.mostInRest > sAllowedInRest));
+            BOOST_TEST((load < 1 || unread.maxDuringRest > sMaxDuringRest));
         }
     }
 }
 
 // The store says nothing all the while: only the engines' answers tell.
-BOOST_AUTO_TEST_CASE(engines_that_leave_get_requests_of_gateways_that_they_told)
+BOOST_AUTO_TEST_CASE(leaving_engines_get_no_requests_from_gateways_that_they_told)
 {
     for (const Size size : sSizes) {
         for (const double load : sLoads) {
@@ -259,10 +260,10 @@
             lab.leaving = size.engines / 8;
             lab.leaveAtMs = 6'000;
             const auto heeded = play(lab, load, "leavings heeded");
-            BOOST_TEST(heeded.afterLeaving == 0);
-            BOOST_TEST(heeded.toldLeaving > 0);
-            lab.hearsNotices = false;
-            BOOST_TEST(play(lab, load, "leavings not read").afterLeaving > 0);
+            BOOST_TEST(heeded.sentAfterLeaving == 0);
+            BOOST_TEST(heeded.announcedLeaving > 0);
+            lab.readsNotices = false;
+            BOOST_TEST(play(lab, load, "leavings not read").sentAfterLeaving > 0);
         }
     }
 }
--- a/tests/direct/test_overload.cpp
+++ b/tests/direct/test_overload.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_is_in_time_does_not_fall_when_more_is_asked_and_is_back_at_once)
+BOOST_AUTO_TEST_CASE(goodput_holds_under_overload_and_recovers_at_once)
 {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         OverloadLab lab(shape(seed));
@@ -79,14 +79,14 @@
 
 // Replays a load of 1.3 and 2.0 times what the engines finish, at sizes where
 // each gateway sends one engine something every few seconds.
-BOOST_AUTO_TEST_CASE(gateways_that_ask_keep_what_is_in_time_at_any_size)
+BOOST_AUTO_TEST_CASE(probing_gateways_keep_their_goodput_at_any_fleet_size)
 {
     for (const Size size : {Size{9, 12, 3}, Size{39, 45, 3}, Size{149, 120, 5}}) {
         OverloadLab::Shape asking = shape(1);
         asking.gateways = size.gateways;
         asking.engines = size.engines;
         asking.dataCentres = size.dataCentres;
-        asking.isAsked = true;
+        asking.probesAgents = true;
         asking.figures.slots = 8;
         OverloadLab lab(asking);
         const double full = lab.capacity();
@@ -101,31 +101,31 @@
         for (const OverloadLab::Second &second : seconds) {
             calls += second.asked;
         }
-        const double questions = static_cast<double>(lab.questions()) / calls;
+        const double probes = static_cast<double>(lab.probes()) / calls;
         BOOST_TEST_MESSAGE(size.gateways
                            << " gateways, capacity " << full << ", in time a second: 0.8 " << before
                            << ", 1.0 " << atFull << ", 1.3 " << over << ", 2.0 " << twice
-                           << ", 0.8 again " << after << ", questions a call " << questions);
+                           << ", 0.8 again " << after << ", questions a call " << probes);
         BOOST_TEST(before > 0.95 * 0.8 * full);
         BOOST_TEST(over > 0.92 * atFull);
         BOOST_TEST(twice > 0.8 * atFull);
         BOOST_TEST(after > 0.95 * before);
         // Two messages each, whatever the size.
-        BOOST_TEST(questions < 12);
+        BOOST_TEST(probes < 12);
     }
 }
 
 // Replays 1.3 times what the engines finish while a request needs some
 // milliseconds to its engine: a place that turns free is seen by several gateways.
-BOOST_AUTO_TEST_CASE(a_place_that_turns_free_is_given_out_once)
+BOOST_AUTO_TEST_CASE(freed_slot_is_assigned_once)
 {
-    const auto lateShare = [](bool hasClaims) {
+    const auto lateShare = [](bool includesInTransit) {
         OverloadLab::Shape asking = shape(1);
         asking.gateways = 9;
         asking.engines = 12;
-        asking.isAsked = true;
-        asking.hasClaims = hasClaims;
-        asking.wayMs = 6;
+        asking.probesAgents = true;
+        asking.includesInTransit = includesInTransit;
+        asking.transitMs = 6;
         OverloadLab lab(asking);
         const auto seconds = lab.play({{4, lab.capacity()}, {12, 1.3 * lab.capacity()}});
         double late = 0;
@@ -134,7 +134,7 @@
             late += seconds[second].late;
             answered += seconds[second].late + seconds[second].inTime;
         }
-        BOOST_TEST_MESSAGE((hasClaims ? "with" : "without")
+        BOOST_TEST_MESSAGE((includesInTransit ? "with" : "without")
                            << " claims late " << late / answered << ", in time a second "
                            << goodput(seconds, 6, 16));
         return late / answered;
@@ -147,14 +147,14 @@
 namespace {
 
 /** Dozens of gateways before engines that read prompts slowly. */
-OverloadLab::Shape dozensOfGateways(std::uint64_t seed)
+OverloadLab::Shape shapeWithManyGateways(std::uint64_t seed)
 {
     OverloadLab::Shape asking;
     asking.seed = seed;
     asking.gateways = 41;
     asking.engines = 45;
     asking.dataCentres = 3;
-    asking.isAsked = true;
+    asking.probesAgents = true;
     asking.figures = {.slots = 12,
                       .stepMs = 9.27,
                       .perSequenceMs = 0.03,
@@ -171,10 +171,10 @@
 // Replays a second of 1.8 times what the engines finish, with room before and after it.
 // Callers that were told to come back within their goal found the rush still there, and
 // 5 to 8 in 100 of the seven seconds' calls were refused for good.
-BOOST_AUTO_TEST_CASE(whoever_is_refused_in_a_short_rush_is_served_after_it)
+BOOST_AUTO_TEST_CASE(callers_refused_in_a_short_burst_are_served_after_it)
 {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
-        OverloadLab lab(dozensOfGateways(seed));
+        OverloadLab lab(shapeWithManyGateways(seed));
         const double full = lab.capacity();
         const auto seconds = lab.play({{6, 0.8 * full}, {1, 1.8 * full}, {6, 0.8 * full}});
         double asked = 0;
--- a/tests/direct/test_openquestions.cpp
+++ b/tests/direct/test_pendingqueries.cpp
@@ -1,5 +1,5 @@
 /*
- * test_openquestions.cpp
+ * test_pendingqueries.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -9,13 +9,13 @@
 #include <boost/test/unit_test.hpp>
 
 #include "fakelog.h"
-#include "openquestions.h"
+#include "pendingqueries.h"
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(an_answer_is_as_old_as_its_own_question)
+BOOST_AUTO_TEST_CASE(answer_is_no_older_than_its_query)
 {
-    OpenQuestions questions(at(0));
+    PendingQueries questions(at(0));
     questions.ask(at(300));
     questions.ask(at(600));
     BOOST_TEST((questions.answered() == at(0)));
@@ -24,9 +24,9 @@
 }
 
 // What comes unasked may be of any time since the last question that was answered.
-BOOST_AUTO_TEST_CASE(what_comes_unasked_is_as_old_as_the_last_question_that_was_heard)
+BOOST_AUTO_TEST_CASE(unsolicited_message_is_no_older_than_the_last_answered_query)
 {
-    OpenQuestions questions(at(10));
+    PendingQueries questions(at(10));
     questions.ask(at(300));
     BOOST_TEST((questions.heard() == at(10)));
     questions.answered();
@@ -36,9 +36,9 @@
 }
 
 // Without a question nothing is known to be fresh.
-BOOST_AUTO_TEST_CASE(an_answer_to_no_question_says_nothing_of_its_age)
+BOOST_AUTO_TEST_CASE(answer_without_a_query_has_no_known_age)
 {
-    OpenQuestions questions(at(0));
+    PendingQueries questions(at(0));
     BOOST_TEST(questions.answered().has_value());
     BOOST_TEST(!questions.answered().has_value());
     BOOST_TEST((questions.heard() == at(0)));
--- a/tests/direct/test_askplan.cpp
+++ b/tests/direct/test_probeplan.cpp
@@ -1,5 +1,5 @@
 /*
- * test_askplan.cpp
+ * test_probeplan.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,8 +8,8 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "askplan.h"
 #include "fakelog.h"
+#include "probeplan.h"
 #include "weightsgoal.h"
 
 #include <algorithm>
@@ -49,29 +49,29 @@
     ReplicaQuery query;
     query.service = "scorer";
     query.dataCentre = "z0";
-    query.leastVersion = 1;
+    query.minVersion = 1;
     query.random = random;
     return query;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_gateway_uses_as_many_replicas_of_a_large_fleet_as_of_a_small_one)
+BOOST_AUTO_TEST_CASE(subset_size_is_bounded_in_a_large_fleet)
 {
     const ReplicaQuery asked = query();
     for (const std::size_t count : {1U, 12U, 16U, 45U, 120U, 1'800U}) {
         const Fleet fleet(count, 5);
-        const auto neighbours = AskPlan("g1", asked, at(0)).neighbours(fleet.usable);
-        BOOST_TEST(neighbours.size() == std::min<std::size_t>(count, 16));
+        const auto subset = ProbePlan("g1", asked, at(0)).subset(fleet.usable);
+        BOOST_TEST(subset.size() == std::min<std::size_t>(count, 16));
     }
     const Fleet large(120, 5);
-    const auto neighbours = AskPlan("g1", asked, at(0)).neighbours(large.usable);
+    const auto subset = ProbePlan("g1", asked, at(0)).subset(large.usable);
     const auto near = std::ranges::count_if(
-        neighbours, [](const Replica *replica) { return replica->record.dataCentre == "z0"; });
+        subset, [](const Replica *replica) { return replica->record.dataCentre == "z0"; });
     BOOST_TEST(near == 12);
 }
 
-BOOST_AUTO_TEST_CASE(every_replica_of_a_large_fleet_is_used_by_some_gateways)
+BOOST_AUTO_TEST_CASE(subsets_cover_every_replica_of_a_large_fleet_evenly)
 {
     const Fleet fleet(120, 5);
     std::map<std::string, int> users;
@@ -80,7 +80,7 @@
         const std::string zone = "z" + std::to_string(gateway % 5);
         asked.dataCentre = zone;
         const std::string key = "gateway-" + std::to_string(gateway);
-        for (const Replica *replica : AskPlan(key, asked, at(0)).neighbours(fleet.usable)) {
+        for (const Replica *replica : ProbePlan(key, asked, at(0)).subset(fleet.usable)) {
             ++users[replica->record.id];
         }
     }
@@ -91,39 +91,39 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_first_round_stays_in_the_data_centre_and_the_next_ask_others)
+BOOST_AUTO_TEST_CASE(first_round_probes_the_local_data_centre_and_later_rounds_probe_others)
 {
     const Fleet fleet(120, 5);
     const ReplicaQuery asked = query(7);
-    const AskPlan plan("g1", asked, at(0));
+    const ProbePlan plan("g1", asked, at(0));
     std::vector<std::string> ids;
-    for (const Replica *replica : plan.choose(AskRound::Near, fleet.usable, ids)) {
+    for (const Replica *replica : plan.choose(ProbeRound::Local, fleet.usable, ids)) {
         BOOST_TEST(replica->record.dataCentre == "z0");
         ids.push_back(replica->record.id);
     }
     BOOST_TEST(ids.size() == 4U);
-    const auto more = plan.choose(AskRound::Neighbours, fleet.usable, ids);
+    const auto more = plan.choose(ProbeRound::Subset, fleet.usable, ids);
     BOOST_TEST(more.size() == 6U);
     for (const Replica *replica : more) {
         BOOST_TEST((std::ranges::find(ids, replica->record.id) == ids.end()));
     }
-    BOOST_TEST(plan.choose(AskRound::Anyone, fleet.usable, ids).size() == 6U);
+    BOOST_TEST(plan.choose(ProbeRound::Any, fleet.usable, ids).size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(only_one_of_those_asked_has_weights_that_are_too_old)
+BOOST_AUTO_TEST_CASE(only_one_probed_replica_has_outdated_weights)
 {
     Fleet fleet(12, 1);
     for (std::size_t index = 0; index < 6; ++index) {
         fleet.replicas[index].record.weightsVersion = 2;
     }
     ReplicaQuery asked = query(3);
-    asked.leastVersion = 2;
+    asked.minVersion = 2;
     std::set<std::string> old;
     for (std::uint64_t random = 0; random < 50; ++random) {
         asked.random = random * 7'919;
-        const AskPlan plan("g1", asked, at(0));
+        const ProbePlan plan("g1", asked, at(0));
         int promising = 0;
-        for (const Replica *replica : plan.choose(AskRound::Near, fleet.usable, {})) {
+        for (const Replica *replica : plan.choose(ProbeRound::Local, fleet.usable, {})) {
             const bool isNew = replica->record.weightsVersion == 2;
             promising += isNew ? 1 : 0;
             if (!isNew) {
@@ -136,7 +136,7 @@
     BOOST_TEST(old.size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(far_replicas_whose_weights_are_over_soon_are_asked_as_little_as_too_old_ones)
+BOOST_AUTO_TEST_CASE(remote_replicas_with_expiring_weights_are_probed_like_outdated_ones)
 {
     Fleet fleet(12, 2);
     for (std::size_t index = 0; index < 6; ++index) {
@@ -149,8 +149,8 @@
     asked.model = "m";
     for (std::uint64_t random = 0; random < 50; ++random) {
         asked.random = random * 7'919;
-        const auto plan = AskPlan("g1", asked, at(0));
-        const auto chosen = plan.choose(AskRound::Anyone, fleet.usable, {});
+        const auto plan = ProbePlan("g1", asked, at(0));
+        const auto chosen = plan.choose(ProbeRound::Any, fleet.usable, {});
         const auto wasted = std::ranges::count_if(chosen, [](const Replica *replica) {
             return replica->record.dataCentre != "z0" && replica->record.weightsVersion == 1;
         });
@@ -158,7 +158,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_was_away_for_a_load_is_asked_less_until_it_may_be_back)
+BOOST_AUTO_TEST_CASE(replica_that_loads_weights_is_probed_less_until_the_load_may_be_over)
 {
     Fleet fleet(5, 1);
     ReplicaLoad away;
@@ -172,7 +172,7 @@
         const ReplicaQuery asked = query(11);
         int count = 0;
         for (const Replica *replica :
-             AskPlan("g1", asked, now).choose(AskRound::Near, fleet.usable, {})) {
+             ProbePlan("g1", asked, now).choose(ProbeRound::Local, fleet.usable, {})) {
             count += replica->load ? 1 : 0;
         }
         return count;
--- a/tests/direct/test_heldup.cpp
+++ b/tests/direct/test_ratelimited.cpp
@@ -1,5 +1,5 @@
 /*
- * test_heldup.cpp
+ * test_ratelimited.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -20,9 +20,9 @@
 }
 
 /** One replica of a plain service. */
-struct HeldUpLab
+struct RateLimitLab
 {
-    HeldUpLab()
+    RateLimitLab()
     {
         ReplicaRecord record;
         record.id = "r1";
@@ -32,40 +32,40 @@
         set.put(record, at(0));
         query.service = "plain";
         query.goal = Milliseconds(400);
-        life = record.life();
+        incarnation = record.incarnation();
     }
 
-    bool isHeldUp(int ms) const { return set.find("r1")->isHeldUp(at(ms)); }
+    bool isRateLimited(int ms) const { return set.find("r1")->isRateLimited(at(ms)); }
 
     ReplicaSet set{Milliseconds(2'000)};
     ReplicaQuery query;
-    std::string life;
+    std::string incarnation;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_limit_that_rose_lets_requests_through_at_once)
+BOOST_AUTO_TEST_CASE(raised_limit_takes_effect_at_once)
 {
-    HeldUpLab lab;
-    lab.set.hearLimit({lab.life, 0.3, at(1), Milliseconds(3'000)}, at(1));
-    BOOST_TEST(lab.isHeldUp(100));
-    lab.set.hearLimit({lab.life, 50.0, at(100), Microseconds(0)}, at(100));
-    BOOST_TEST(!lab.isHeldUp(100));
+    RateLimitLab lab;
+    lab.set.applyLimit({lab.incarnation, 0.3, at(1), Milliseconds(3'000)}, at(1));
+    BOOST_TEST(lab.isRateLimited(100));
+    lab.set.applyLimit({lab.incarnation, 50.0, at(100), Microseconds(0)}, at(100));
+    BOOST_TEST(!lab.isRateLimited(100));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_told_of_another_life_says_nothing_of_this_one)
+BOOST_AUTO_TEST_CASE(limit_of_another_incarnation_is_ignored)
 {
-    HeldUpLab lab;
-    lab.set.hearLimit({"r1@7", 0.3, at(1), Milliseconds(3'000)}, at(1));
-    BOOST_TEST(!lab.isHeldUp(100));
+    RateLimitLab lab;
+    lab.set.applyLimit({"r1@7", 0.3, at(1), Milliseconds(3'000)}, at(1));
+    BOOST_TEST(!lab.isRateLimited(100));
     BOOST_TEST(!lab.set.find("r1")->limit.perSecond().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(where_all_are_held_up_callers_are_told_when_the_next_send_is_there)
+BOOST_AUTO_TEST_CASE(callers_are_told_to_retry_when_the_next_send_is_permitted)
 {
-    HeldUpLab lab;
-    lab.set.nameLimit("r1", 1.0, at(0));
-    lab.set.denyUntil("r1", at(600));
+    RateLimitLab lab;
+    lab.set.noteNamedLimit("r1", 1.0, at(0));
+    lab.set.setRateLimitedUntil("r1", at(600));
     const ReplicaChoice choice = lab.set.choose(lab.query, at(0));
     const auto *busy = std::get_if<AllBusy>(&choice);
     BOOST_REQUIRE(busy != nullptr);
--- a/tests/direct/test_replicaset.cpp
+++ b/tests/direct/test_replicaset.cpp
@@ -52,7 +52,7 @@
     query.dataCentre = "here";
     query.engine = &sEngine;
     query.goal = Milliseconds(400);
-    query.leastVersion = 1;
+    query.minVersion = 1;
     return query;
 }
 
@@ -65,7 +65,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(draining_gone_and_empty_replicas_get_nothing)
+BOOST_AUTO_TEST_CASE(draining_removed_and_unloaded_replicas_get_no_requests)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -84,7 +84,7 @@
     BOOST_TEST(chosen(set, query(), at(10)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_lapsed_with_the_store_is_given_time_to_return)
+BOOST_AUTO_TEST_CASE(untrusted_removal_keeps_the_replica_for_a_grace_period)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -101,7 +101,7 @@
 //   replica-state  replica=r1 draining=true  weights=2
 //   replica-state  replica=r1 draining=false weights=1
 //   call           outcome=refused reason="no replica can take it"
-BOOST_AUTO_TEST_CASE(a_replica_that_starts_again_with_its_id_is_known_anew)
+BOOST_AUTO_TEST_CASE(restart_with_the_same_id_discards_the_earlier_state)
 {
     ReplicaSet set(sDrainTime);
     ReplicaRecord first = record("r1", "here", 2);
@@ -126,7 +126,7 @@
     BOOST_TEST(!set.find("r1")->load.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_starts_again_holds_no_weights_of_before)
+BOOST_AUTO_TEST_CASE(restart_discards_the_earlier_weights_version)
 {
     ReplicaSet set(sDrainTime);
     ReplicaRecord first = record("r1", "here", 3);
@@ -139,7 +139,7 @@
     BOOST_TEST(chosen(set, query(), at(2)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_start_that_is_told_for_the_first_time_begins_no_new_life)
+BOOST_AUTO_TEST_CASE(first_known_start_time_is_not_a_restart)
 {
     ReplicaSet set(sDrainTime);
     ReplicaRecord draining = record("r1", "here");
@@ -151,17 +151,17 @@
     BOOST_TEST(chosen(set, query(), at(1)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_says_another_start_is_news)
+BOOST_AUTO_TEST_CASE(record_with_another_start_time_differs)
 {
     ReplicaRecord first = record("r1", "here");
     first.born = 1'000;
     ReplicaRecord second = first;
-    BOOST_TEST(first.isLike(second));
+    BOOST_TEST(first.hasSameContent(second));
     second.born = 2'000;
-    BOOST_TEST(!first.isLike(second));
+    BOOST_TEST(!first.hasSameContent(second));
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_whose_record_cannot_be_read_gets_nothing_until_the_next)
+BOOST_AUTO_TEST_CASE(unreadable_record_disables_the_replica_until_the_next_record)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -178,7 +178,7 @@
 // A load of new weights may cut the streams that run, and each of them counts as a failure:
 // the replica would be avoided for up to 4 s after it had loaded. Found by reading the code;
 // no log shows it.
-BOOST_AUTO_TEST_CASE(a_replica_with_new_weights_is_not_avoided_for_what_their_load_cut)
+BOOST_AUTO_TEST_CASE(new_weights_clear_the_failures_that_their_load_caused)
 {
     ReplicaSet set(sDrainTime);
     const ReplicaRecord replica = record("r1", "here", 1);
@@ -200,7 +200,7 @@
     BOOST_TEST(set.find("r1")->failures == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_certain_removal_ends_the_time_that_a_doubtful_one_gave)
+BOOST_AUTO_TEST_CASE(trusted_removal_ends_the_grace_period_of_an_untrusted_one)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -213,7 +213,7 @@
     BOOST_TEST(chosen(set, query(), at(500)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_removal_that_was_heard_late_gives_less_time)
+BOOST_AUTO_TEST_CASE(grace_period_starts_when_the_record_was_removed)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -225,12 +225,12 @@
     BOOST_TEST(chosen(set, query(), at(5'000)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(weights_that_are_too_old_or_loading_get_nothing)
+BOOST_AUTO_TEST_CASE(replicas_with_outdated_or_loading_weights_get_no_requests)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
     ReplicaQuery asked = query();
-    asked.leastVersion = 2;
+    asked.minVersion = 2;
     BOOST_TEST(chosen(set, asked, at(0)) == "");
     // The stager of its box knows sooner than the store.
     ReplicaLoad load;
@@ -242,7 +242,7 @@
     BOOST_TEST(chosen(set, asked, at(10)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(the_less_loaded_replica_is_chosen_and_the_near_one_on_a_tie)
+BOOST_AUTO_TEST_CASE(least_loaded_replica_is_chosen_and_the_local_one_on_a_tie)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "there"), at(0));
@@ -260,7 +260,7 @@
     BOOST_TEST(chosen(set, query(), at(0)) == "r2");
 }
 
-BOOST_AUTO_TEST_CASE(failures_in_a_row_keep_requests_away_for_longer_each_time)
+BOOST_AUTO_TEST_CASE(consecutive_failures_double_the_backoff)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -277,7 +277,7 @@
     BOOST_TEST(set.find("r1")->failures == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(patient_requests_delay_no_prompt_ones)
+BOOST_AUTO_TEST_CASE(patient_requests_do_not_delay_requests_that_meet_their_goal)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -294,7 +294,7 @@
     BOOST_TEST(!std::get<ChosenReplica>(prompt).isPatient);
 }
 
-BOOST_AUTO_TEST_CASE(what_missed_its_goal_gets_only_places_that_would_stand_empty)
+BOOST_AUTO_TEST_CASE(requests_past_their_goal_only_use_slots_that_would_stay_free)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -318,7 +318,7 @@
     BOOST_TEST(std::holds_alternative<AllBusy>(set.choose(late, at(60'000))));
 }
 
-BOOST_AUTO_TEST_CASE(the_goal_counts_from_the_first_try)
+BOOST_AUTO_TEST_CASE(goal_counts_from_the_first_attempt)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -333,7 +333,7 @@
     BOOST_TEST(chosen(set, asked, at(0)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_resumed_stream_waits_rather_than_be_cut)
+BOOST_AUTO_TEST_CASE(resumed_stream_is_queued_rather_than_refused)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -351,7 +351,7 @@
     BOOST_TEST(chosen(set, asked, at(10)) == "");
 }
 
-BOOST_AUTO_TEST_CASE(room_at_one_replica_is_shared_among_all_who_may_see_it)
+BOOST_AUTO_TEST_CASE(capacity_of_one_replica_is_shared_among_all_gateways)
 {
     // Twelve replicas are full but one, which has room for a few requests.
     // Twenty gateways hear of it, and 2,000 calls a second come to them.
@@ -371,7 +371,7 @@
     constexpr int calls = 2'000;
     for (std::uint64_t random = 1; random <= calls; ++random) {
         ReplicaQuery asked = query();
-        asked.entries = 20;
+        asked.gatewayCount = 20;
         asked.random = random * 0x9e3779b97f4a7c15ULL;
         sent += chosen(set, asked, at(10'000)).empty() ? 0 : 1;
     }
@@ -382,7 +382,7 @@
     BOOST_TEST(perReport < 6);
 }
 
-BOOST_AUTO_TEST_CASE(kinds_with_longer_goals_do_not_take_all_the_room)
+BOOST_AUTO_TEST_CASE(requests_with_longer_goals_do_not_take_all_capacity)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -409,7 +409,7 @@
     BOOST_TEST(std::abs(shortGoal - longGoal) < 100);
 }
 
-BOOST_AUTO_TEST_CASE(gateways_with_the_same_view_do_not_all_take_the_same_replica)
+BOOST_AUTO_TEST_CASE(gateways_with_the_same_reports_spread_their_choices)
 {
     // Twenty replicas, one of them empty, the others with a few places left.
     ReplicaSet set(sDrainTime);
@@ -426,7 +426,7 @@
         for (std::uint64_t random = 1; random <= 1'000; ++random) {
             ReplicaQuery asked = query();
             asked.random = random * 0x9e3779b97f4a7c15ULL;
-            asked.entries = 3;
+            asked.gatewayCount = 3;
             empty += chosen(set, asked, at(10'050)) == "r1" ? 1 : 0;
         }
         return empty;
@@ -441,7 +441,7 @@
     BOOST_TEST(shareOfEmpty() > 40);
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_whose_agent_fell_silent_is_used_only_when_no_other_is)
+BOOST_AUTO_TEST_CASE(replica_with_a_silent_agent_is_a_last_resort)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here"), at(0));
@@ -457,7 +457,7 @@
     BOOST_TEST(chosen(set, query(), at(420)) == "r1");
 }
 
-BOOST_AUTO_TEST_CASE(weights_that_are_over_soon_run_only_what_begins_at_once)
+BOOST_AUTO_TEST_CASE(expiring_weights_only_take_requests_that_start_at_once)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-7'000)); // version 1 may begin requests until 1 s
@@ -466,7 +466,7 @@
     ReplicaLoad load;
     load.weightsVersion = 1;
     load.running = 3;
-    load.took = Milliseconds(5);
+    load.roundTrip = Milliseconds(5);
     ReplicaQuery asked = query();
     asked.weights = &goal;
     asked.model = "m";
@@ -490,7 +490,7 @@
     BOOST_TEST(chosen(set, asked, at(410)) == "r1");
 }
 
-BOOST_AUTO_TEST_CASE(weights_with_some_time_left_run_what_begins_well_within_it)
+BOOST_AUTO_TEST_CASE(weights_with_time_left_take_requests_that_start_well_before_expiry)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
@@ -504,7 +504,7 @@
     asked.answered = answered;
     ReplicaLoad load;
     load.weightsVersion = 1;
-    load.took = Milliseconds(5);
+    load.roundTrip = Milliseconds(5);
     load.running = 16;
     load.waiting = 2;
     set.report("10.0.0.1:1", load, at(0));
@@ -525,7 +525,7 @@
 // end: 22 and 29 ms late. What had been heard of a replica up to 350 ms before counted as
 // knowledge of the way there, and a replica with a silent agent was used when no
 // other was.
-BOOST_AUTO_TEST_CASE(weights_that_are_over_soon_run_only_where_the_way_was_short_just_now)
+BOOST_AUTO_TEST_CASE(expiring_weights_require_a_recent_fast_probe)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
@@ -536,16 +536,16 @@
     asked.model = "m";
     ReplicaLoad load;
     load.weightsVersion = 1;
-    load.took = Milliseconds(5);
+    load.roundTrip = Milliseconds(5);
     set.report("10.0.0.1:1", load, at(0));
     BOOST_TEST(chosen(set, asked, at(20)) == ""); // no agent answered when it was asked
     const std::vector<std::string> answered{"r1"};
     asked.answered = answered;
     BOOST_TEST(chosen(set, asked, at(20)) == "r1");
-    load.took = Milliseconds(200); // it answered an earlier question, or the link is full
+    load.roundTrip = Milliseconds(200); // it answered an earlier question, or the link is full
     set.report("10.0.0.1:1", load, at(30));
     BOOST_TEST(chosen(set, asked, at(40)) == "");
-    load.took = Microseconds(0); // it spoke unasked: nothing is known of the way there
+    load.roundTrip = Microseconds(0); // it spoke unasked: nothing is known of the way there
     set.report("10.0.0.1:1", load, at(50));
     BOOST_TEST(chosen(set, asked, at(60)) == "");
     // Newer weights may be taken wherever they are, and however little is heard.
@@ -556,7 +556,7 @@
 
 // A gateway decides from when on weights are too old before it asks agents, and may stand
 // still until they have answered.
-BOOST_AUTO_TEST_CASE(weights_that_came_to_their_end_while_agents_were_asked_run_nothing)
+BOOST_AUTO_TEST_CASE(weights_that_expire_during_probing_get_no_requests)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
@@ -569,7 +569,7 @@
     asked.answered = answered;
     ReplicaLoad load;
     load.weightsVersion = 1;
-    load.took = Milliseconds(5);
+    load.roundTrip = Milliseconds(5);
     for (const int time : {1'700, 2'000, 2'500}) {
         set.report("10.0.0.1:1", load, at(time));
         BOOST_TEST(chosen(set, asked, at(time)) == "");
@@ -578,7 +578,7 @@
 
 // The agents of those replicas had answered at once: the link filled up right after,
 // and a request's reset cannot overtake it on a full link.
-BOOST_AUTO_TEST_CASE(weights_that_are_over_soon_run_nothing_in_another_data_centre)
+BOOST_AUTO_TEST_CASE(expiring_weights_in_another_data_centre_get_no_requests)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-4'000)); // version 1 may begin requests until 4 s
@@ -591,7 +591,7 @@
     asked.answered = answered;
     ReplicaLoad load;
     load.weightsVersion = 1;
-    load.took = Milliseconds(5);
+    load.roundTrip = Milliseconds(5);
     set.report("10.0.0.1:1", load, at(1'200));
     BOOST_TEST(chosen(set, asked, at(1'200)) == "r1");
     set.report("10.0.0.1:1", load, at(2'400));
@@ -601,7 +601,7 @@
     BOOST_TEST(chosen(set, asked, at(2'410)) == "r1");
 }
 
-BOOST_AUTO_TEST_CASE(a_new_life_at_an_address_ends_the_earlier_one)
+BOOST_AUTO_TEST_CASE(new_replica_at_an_address_replaces_the_earlier_one)
 {
     ReplicaRecord earlier = record("r1", "here");
     earlier.offset = 5;
--- a/tests/direct/test_levelling.cpp
+++ b/tests/direct/test_waterfill.cpp
@@ -1,5 +1,5 @@
 /*
- * test_levelling.cpp
+ * test_waterfill.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -8,16 +8,16 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "levelling.h"
+#include "waterfill.h"
 
 #include <numeric>
 
 using namespace Loom;
 
-BOOST_AUTO_TEST_CASE(places_that_get_requests_end_at_one_cost)
+BOOST_AUTO_TEST_CASE(targets_that_get_requests_end_at_equal_cost)
 {
-    const std::vector<LevelledPlace> places{{100, 50}, {300, 50}, {120, 25}, {900, 10}};
-    const std::vector<double> shares = levelShares(places, 8);
+    const std::vector<WaterFillTarget> places{{100, 50}, {300, 50}, {120, 25}, {900, 10}};
+    const std::vector<double> shares = waterFillShares(places, 8);
     BOOST_TEST(std::accumulate(shares.begin(), shares.end(), 0.0) == 8,
                boost::test_tools::tolerance(1e-9));
     const double level = 100 + shares[0] * 50;
@@ -27,18 +27,18 @@
     BOOST_TEST(level <= 300);
 }
 
-BOOST_AUTO_TEST_CASE(few_requests_go_to_the_cheapest_and_many_to_all)
+BOOST_AUTO_TEST_CASE(few_requests_go_to_the_cheapest_target_and_many_to_all)
 {
-    const std::vector<LevelledPlace> places{{10, 10}, {20, 10}, {30, 10}};
-    const std::vector<double> few = levelShares(places, 0.5);
+    const std::vector<WaterFillTarget> places{{10, 10}, {20, 10}, {30, 10}};
+    const std::vector<double> few = waterFillShares(places, 0.5);
     BOOST_TEST(few[0] == 0.5, boost::test_tools::tolerance(1e-9));
     BOOST_TEST(few[1] + few[2] == 0);
-    const std::vector<double> many = levelShares(places, 300);
+    const std::vector<double> many = waterFillShares(places, 300);
     BOOST_TEST(many[0] == 101, boost::test_tools::tolerance(1e-9));
     BOOST_TEST(many[2] == 99, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(no_places_get_nothing)
+BOOST_AUTO_TEST_CASE(no_targets_yield_no_shares)
 {
-    BOOST_TEST(levelShares({}, 5).empty());
+    BOOST_TEST(waterFillShares({}, 5).empty());
 }
--- a/tests/lockedout/test_lockedout.cpp
+++ b/tests/lockedout/test_lockedout.cpp
@@ -42,7 +42,7 @@
 
 // A replica turned one request away while it held nothing. After its rest other gateways use it
 // again, and it is never idle: a quarter of its slots is taken at each report.
-BOOST_AUTO_TEST_CASE(a_gateway_never_returns_to_a_replica_that_rested_while_others_use_it)
+BOOST_AUTO_TEST_CASE(gateway_returns_to_a_rested_replica_that_others_keep_busy)
 {
     const EngineFigures figures = engine();
     ReplicaRecord record;
@@ -55,14 +55,14 @@
     set.put(record, at(0));
     set.report(record.address, load(0), at(0));
     set.began("r1", false, at(1));
-    set.hearNotice("r1", 0, {false, Milliseconds(1'000), {}}, at(5));
+    set.applyNotice("r1", 0, {false, Milliseconds(1'000), {}}, at(5));
     set.ended("r1", ReplicaOutcome::Refused, at(5));
     ReplicaQuery query;
     query.service = "scorer";
     query.engine = &figures;
     query.goal = Milliseconds(1'000);
     query.promptTokens = 900;
-    query.leastVersion = 1;
+    query.minVersion = 1;
     bool isUsed = false;
     for (int time = 1'100; time < 60'000 && !isUsed; time += 100) {
         set.report(record.address, load(sSlots / 4), at(time));
