--- a/tests/gateway/test_asking.cpp
+++ b/tests/gateway/test_asking.cpp
@@ -114,7 +114,7 @@
     const auto took = [&](std::string_view id) {
         const Replica *replica = test.lab.replicas().replicas().find(id);
         const bool isKnown = replica != nullptr && replica->load;
-        return isKnown ? replica->load->took : Microseconds(0);
+        return isKnown ? replica->load->roundTrip : Microseconds(0);
     };
     test.lab.run([&]() -> awaitable<void> {
         co_await test.untilAsked();
--- a/tests/notices/test_notices.cpp
+++ b/tests/notices/test_notices.cpp
@@ -167,7 +167,7 @@
         lab.store.write(Feed::Replicas, "i-1", std::nullopt);
         co_await lab.waitFor([&] {
             const Replica *known = lab.replicas().replicas().find("i-1");
-            return known == nullptr || known->goneAt != Instant();
+            return known == nullptr || known->removedAt != Instant();
         });
         // Long enough for it to be swept away.
         co_await lab.waitFor([&] { return lab.replicas().replicas().find("i-1") == nullptr; });
