--- a/src/libloomjunction/core/answertiming.cpp
+++ b/src/libloomjunction/core/answertiming.cpp
@@ -14,10 +14,10 @@
 
 bool AnswerTiming::noteStart(Instant now)
 {
-    if (mFirst) {
+    if (mTimeToFirstByte) {
         return false;
     }
-    mFirst = std::chrono::duration_cast<Milliseconds>(now - mArrived);
+    mTimeToFirstByte = std::chrono::duration_cast<Milliseconds>(now - mArrived);
     return true;
 }
 
@@ -32,14 +32,14 @@
 
 std::string_view AnswerTiming::latenessCause(const Route &route, std::uint32_t sends) const
 {
-    if (!mFirst || route.goal.count() == 0) {
+    if (!mTimeToFirstByte || route.goal.count() == 0) {
         return "";
     }
     if (mWaitedBefore > route.goal) {
         return "came back late";
     }
     const bool isRepeated = sends > 1;
-    if (mWaitedBefore + *mFirst > route.goal) {
+    if (mWaitedBefore + *mTimeToFirstByte > route.goal) {
         return isRepeated ? "sent again" : "first event";
     }
     const bool isPaused = route.pauseGoal.count() > 0 && mLongestPause > route.pauseGoal;
--- a/src/libloomjunction/core/answertiming.h
+++ b/src/libloomjunction/core/answertiming.h
@@ -18,8 +18,8 @@
 namespace Loom {
 
 /**
- * When the parts of one answer went out to its caller, and whether that was as its route
- * wants it. Lives as long as the call.
+ * Times at which the parts of an answer were sent to the caller, compared with the goals
+ * of the route. Lives as long as the call.
  */
 class AnswerTiming
 {
@@ -29,26 +29,29 @@
     {
     }
 
-    /** The caller tried before, so long ago. */
+    /** Sets how long ago the caller's first attempt was. */
     void setWaitedBefore(Milliseconds waited) { mWaitedBefore = waited; }
     Milliseconds waitedBefore() const { return mWaitedBefore; }
 
-    /** The answer begins; true for the first time. */
+    /** Notes that the answer starts; returns true only for the first call. */
     bool noteStart(Instant now);
-    /** Events go out. */
+    /** Notes that events are sent. */
     void noteEvents(Instant now);
 
-    /** From arrival to the first byte of the answer. */
-    const std::optional<Milliseconds> &first() const { return mFirst; }
-    /** Between two events. */
+    /** Time from the call's arrival to the first byte of the answer. */
+    const std::optional<Milliseconds> &first() const { return mTimeToFirstByte; }
+    /** Longest pause between two events. */
     Milliseconds longestPause() const { return mLongestPause; }
-    /** Why the answer was late, after so many sends; empty: it was not, or did not begin. */
+    /**
+     * Why the answer missed a goal of the route; empty: it missed none, or it has not
+     * started. @p sends: how often the request was sent to a replica.
+     */
     std::string_view latenessCause(const Route &route, std::uint32_t sends) const;
 
 private:
     Instant mArrived;
     Milliseconds mWaitedBefore{0};
-    std::optional<Milliseconds> mFirst;
+    std::optional<Milliseconds> mTimeToFirstByte;
     std::optional<Instant> mLastEventAt;
     Milliseconds mLongestPause{0};
 };
--- a/src/libloomjunction/core/callrate.cpp
+++ b/src/libloomjunction/core/callrate.cpp
@@ -16,19 +16,20 @@
 
 namespace {
 
-// How far back the rate of calls reaches.
+// Half-life of a call's weight in the rate.
 constexpr double sHalfLifeMs = 1'000;
-// A goal that fewer calls have does not bound the others.
+// A goal of a smaller fraction of the calls is ignored, so that rare calls with short
+// goals do not bound the capacity for all others.
 constexpr double sMinGoalFraction = 0.05;
 
 } // namespace
 
 void CallRate::note(Milliseconds goal, Instant now)
 {
-    const double kept = keptAfter(now - mAt, sHalfLifeMs);
-    mCount = mCount * kept + 1;
+    const double decay = keptAfter(now - mAt, sHalfLifeMs);
+    mCount = mCount * decay + 1;
     for (auto &[other, count] : mCountByGoal) {
-        count *= kept;
+        count *= decay;
     }
     mCountByGoal[goal] += 1;
     mAt = now;
@@ -36,7 +37,7 @@
 
 double CallRate::perMs(Instant now) const
 {
-    // A steady rate r adds up to r x half-life / ln 2.
+    // The decayed count of a steady rate r converges to r x half-life / ln 2.
     return mCount * keptAfter(now - mAt, sHalfLifeMs) * std::numbers::ln2 / sHalfLifeMs;
 }
 
--- a/src/libloomjunction/core/callrate.h
+++ b/src/libloomjunction/core/callrate.h
@@ -14,20 +14,21 @@
 
 namespace Loom {
 
-/** What this process was asked for one service of late, halved with each second. */
+/** Recent calls for one service at this process, as counts that decay by half each second. */
 class CallRate
 {
 public:
+    /** Counts a call with @p goal. */
     void note(Milliseconds goal, Instant now);
-    /** Calls a millisecond. */
+    /** Calls per millisecond. */
     double perMs(Instant now) const;
-    /** The shortest goal that a fair part of the calls has; the greatest time where none was. */
+    /** Shortest goal that more than a few of the calls have; the maximum without any. */
     Milliseconds shortestGoal() const;
 
 private:
     double mCount = 0;
     std::map<Milliseconds, double> mCountByGoal;
-    Instant mAt; ///< of the last call
+    Instant mAt; ///< time of the last call
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/choicerandom.h
+++ b/src/libloomjunction/core/choicerandom.h
@@ -15,7 +15,7 @@
 
 namespace Loom {
 
-/** Draws of one choice, the same for the same seed. Their quality does not matter. */
+/** Deterministic random numbers for one choice. Their statistical quality does not matter. */
 class ChoiceRandom
 {
 public:
@@ -30,7 +30,7 @@
         return mState >> 33;
     }
 
-    /** From 0 up to 1. */
+    /** Returns a number from 0 up to, but not including, 1. */
     double nextFraction() { return static_cast<double>(next()) / sRange; }
 
     template <class Item> void shuffle(std::vector<Item> &items)
--- a/src/libloomjunction/core/concurrencylimit.cpp
+++ b/src/libloomjunction/core/concurrencylimit.cpp
@@ -18,27 +18,28 @@
 
 } // namespace
 
-void ConcurrencyLimit::lower(double held, std::uint32_t slots, Instant now)
+void ConcurrencyLimit::lower(double heldRequests, std::uint32_t slots, Instant now)
 {
     mSlots = std::max<std::uint32_t>(slots, 1);
-    mLimit = std::clamp(held, 1.0, mSlots);
+    mLimit = std::clamp(heldRequests, 1.0, mSlots);
     mLoweredAt = now;
 }
 
-// A replica that turned requests away though it held few is tried with one, then with twice
-// as many after each good answer. One that was full stays so for a time.
+// A replica that refused requests although it had few gets one request at first, and each
+// successful answer doubles the limit. The limit of a replica that was at least half full
+// stays until sLimitLifetime is over.
 void ConcurrencyLimit::noteAnswer()
 {
-    if (mLimit > 0 && !isFull()) {
+    if (mLimit > 0 && !isHalfFull()) {
         mLimit *= 2;
-        mLimit = isFull() ? 0 : mLimit;
+        mLimit = isHalfFull() ? 0 : mLimit;
     }
 }
 
-std::optional<double> ConcurrencyLimit::most(Instant now) const
+std::optional<double> ConcurrencyLimit::limit(Instant now) const
 {
-    const bool isOver = mLimit == 0 || (isFull() && mLoweredAt + sLimitLifetime <= now);
-    return isOver ? std::nullopt : std::optional<double>(mLimit);
+    const bool isExpired = mLimit == 0 || (isHalfFull() && mLoweredAt + sLimitLifetime <= now);
+    return isExpired ? std::nullopt : std::optional<double>(mLimit);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/concurrencylimit.h
+++ b/src/libloomjunction/core/concurrencylimit.h
@@ -16,22 +16,22 @@
 namespace Loom {
 
 /**
- * How many requests a replica may hold, as far as the rests tell that it asked for. Being
- * turned away costs the replica for the whole rest, so that it pays to send less than it might
- * take.
+ * Limit on the requests at a replica, learned from the rests that it asks for. A refused
+ * request costs the gateway the replica for the whole rest, so it pays to send fewer
+ * requests than the replica might accept.
  */
 class ConcurrencyLimit
 {
 public:
-    /** It asked for rest while it held @p held requests, the refused one not counted. */
-    void lower(double held, std::uint32_t slots, Instant now);
-    /** It gave a good answer. */
+    /** The replica asked for a rest at @p heldRequests requests, without the refused one. */
+    void lower(double heldRequests, std::uint32_t slots, Instant now);
+    /** The replica answered a request successfully. */
     void noteAnswer();
-    /** The most that it may hold; nothing: not known to be less than it seems to take. */
-    std::optional<double> most(Instant now) const;
+    /** The current limit; empty: none is known. */
+    std::optional<double> limit(Instant now) const;
 
 private:
-    bool isFull() const { return 2 * mLimit >= mSlots; }
+    bool isHalfFull() const { return 2 * mLimit >= mSlots; }
 
     double mLimit = 0; ///< zero: unknown
     double mSlots = 0;
--- a/src/libloomjunction/core/enginemodel.cpp
+++ b/src/libloomjunction/core/enginemodel.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A request comes somewhere within a pass, on average in its middle.
+// Requests arrive in the middle of a pass on average.
 constexpr double sMeanPassFraction = 0.5;
 constexpr double sTokensPerK = 1'000;
 
@@ -23,15 +23,15 @@
 double EngineModel::passMs(double generating) const
 {
     const double context = (mFigures.usualPrompt + mFigures.usualAnswer / 2) / sTokensPerK;
-    const double perWriter = mFigures.perSequenceMs + mFigures.contextMsPerK * context;
-    return mFigures.stepsPerPass * (mFigures.stepMs + generating * perWriter);
+    const double perRequest = mFigures.perSequenceMs + mFigures.contextMsPerK * context;
+    return mFigures.stepsPerPass * (mFigures.stepMs + generating * perRequest);
 }
 
 double EngineModel::steadyPassMs(double generating) const
 {
     const double events = mFigures.usualAnswer / std::max(mFigures.stepsPerPass, 1U);
-    const double begun = events > 0 ? generating / events : 0;
-    return passMs(generating) + begun * promptReadMs(mFigures.usualPrompt);
+    const double startedPerPass = events > 0 ? generating / events : 0;
+    return passMs(generating) + startedPerPass * promptReadMs(mFigures.usualPrompt);
 }
 
 double EngineModel::promptReadMs(double tokens) const
@@ -44,31 +44,32 @@
     if (mFigures.slots == 0 || mFigures.stepsPerPass == 0) {
         return 0;
     }
-    const double step = passMs(mFigures.slots) / mFigures.stepsPerPass;
-    return promptReadMs(mFigures.usualPrompt) + mFigures.usualAnswer * step / mFigures.slots;
+    const double stepMs = passMs(mFigures.slots) / mFigures.stepsPerPass;
+    return promptReadMs(mFigures.usualPrompt) + mFigures.usualAnswer * stepMs / mFigures.slots;
 }
 
-double EngineModel::firstEventMs(const EngineLoad &work, double promptTokens) const
+double EngineModel::firstEventMs(const EngineLoad &load, double promptTokens) const
 {
     const double slots = std::max<std::uint32_t>(mFigures.slots, 1);
-    const double total = work.running + work.waitingPrompts;
+    const double total = load.running + load.waitingPrompts;
     const double queued = std::max(0.0, total + 1 - slots);
-    // Only those that find a slot are read in the next pass.
-    const double readBefore = std::max(0.0, work.waitingPrompts - queued);
+    // The next pass reads only the prompts of requests that find a free slot.
+    const double promptsBefore = std::max(0.0, load.waitingPrompts - queued);
     const double tokens = promptTokens > 0 ? promptTokens : mFigures.usualPrompt;
-    const double reading = readBefore * promptReadMs(mFigures.usualPrompt) + promptReadMs(tokens);
+    const double reading
+        = promptsBefore * promptReadMs(mFigures.usualPrompt) + promptReadMs(tokens);
     const double waiting = queued * completionIntervalMs();
     const double passes
-        = sMeanPassFraction * steadyPassMs(work.running) + passMs(std::min(total + 1, slots));
-    return work.pace * (waiting + passes + reading);
+        = sMeanPassFraction * steadyPassMs(load.running) + passMs(std::min(total + 1, slots));
+    return load.pace * (waiting + passes + reading);
 }
 
-double EngineModel::room(const EngineLoad &work, double promptTokens, double limit) const
+double EngineModel::room(const EngineLoad &load, double promptTokens, double limit) const
 {
-    EngineLoad with = work;
+    EngineLoad withMore = load;
     double room = 0;
-    while (room < mFigures.slots && firstEventMs(with, promptTokens) <= limit) {
-        with.waitingPrompts += 1;
+    while (room < mFigures.slots && firstEventMs(withMore, promptTokens) <= limit) {
+        withMore.waitingPrompts += 1;
         room += 1;
     }
     return room;
--- a/src/libloomjunction/core/enginemodel.h
+++ b/src/libloomjunction/core/enginemodel.h
@@ -12,18 +12,19 @@
 
 namespace Loom {
 
-/** What is known of an engine's work at the moment of a choice. */
+/** Load of an engine at the time of a choice. */
 struct EngineLoad
 {
-    double running = 0; ///< requests that write
-    double waitingPrompts = 0; ///< requests whose prompts are still to be read
-    double pace = 1; ///< above one: slower than its figures say
+    double running = 0; ///< requests that generate tokens
+    double waitingPrompts = 0; ///< requests whose prompts have not been read yet
+    double pace = 1; ///< slowdown against the configured figures; one: none
 };
 
 /**
- * Times of a model engine that works in passes: each pass reads the prompts
- * that wait, as far as there are free slots, and plays some token steps for
- * all that write. Built from the operators' own figures. All milliseconds.
+ * Timing model of an inference engine that works in passes. Each pass reads waiting
+ * prompts, as far as slots are free, and runs some token steps for all requests that
+ * generate. The figures come from the operator's configuration; all times are in
+ * milliseconds.
  */
 class EngineModel
 {
@@ -33,18 +34,18 @@
     {
     }
 
-    /** One pass for @p writers, without reading. */
+    /** Duration of a pass with @p generating requests, without reading prompts. */
     double passMs(double generating) const;
-    /** The same with the prompts that are read in it while @p writers come and go. */
+    /** Duration of a pass at a steady load, with the prompts of requests that replace others. */
     double steadyPassMs(double generating) const;
-    /** Reading a prompt of @p tokens. */
+    /** Time to read a prompt of @p tokens. */
     double promptReadMs(double tokens) const;
-    /** Mean time between two ends of requests at a full engine. */
+    /** Mean time between two completions at a full engine. */
     double completionIntervalMs() const;
-    /** From the arrival of a request to its first event. @p promptTokens: zero for the usual. */
-    double firstEventMs(const EngineLoad &work, double promptTokens) const;
-    /** How many more such requests may come, each with its first event within @p limit. */
-    double room(const EngineLoad &work, double promptTokens, double limit) const;
+    /** Time from a request's arrival to its first event. @p promptTokens: zero for the usual. */
+    double firstEventMs(const EngineLoad &load, double promptTokens) const;
+    /** Number of further such requests that get their first event within @p limit. */
+    double room(const EngineLoad &load, double promptTokens, double limit) const;
 
 private:
     const EngineFigures &mFigures;
--- a/src/libloomjunction/core/intransitcount.cpp
+++ b/src/libloomjunction/core/intransitcount.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-// From a gateway's word until its request has reached the engine: the way within a
-// data centre, and a new connection at times. Longer would count requests twice,
-// shorter not at all.
+// From a gateway's announcement until its request reaches the engine: the latency within
+// a data centre, and the setup of a connection at times. A longer time would count
+// requests twice, a shorter one would miss them.
 constexpr Milliseconds sTransitTime{6};
 
 } // namespace
@@ -24,9 +24,9 @@
     mSentTimes.push_back(now);
 }
 
-std::uint32_t InTransitCount::notVisibleAt(Instant lookedAt)
+std::uint32_t InTransitCount::notVisibleAt(Instant reportedAt)
 {
-    while (!mSentTimes.empty() && mSentTimes.front() + sTransitTime <= lookedAt) {
+    while (!mSentTimes.empty() && mSentTimes.front() + sTransitTime <= reportedAt) {
         mSentTimes.pop_front();
     }
     return static_cast<std::uint32_t>(mSentTimes.size());
--- a/src/libloomjunction/core/intransitcount.h
+++ b/src/libloomjunction/core/intransitcount.h
@@ -16,18 +16,18 @@
 namespace Loom {
 
 /**
- * Requests that gateways said they are sending to an engine and that its own
- * report cannot show yet. The load pattern it answers: under overload a place that
- * turns free is seen by every gateway that asks within the next milliseconds,
- * and all but one of their requests would wait a turn.
+ * Counts the requests that gateways announced for an engine and that the engine's own
+ * report cannot include yet. Without it, every gateway that probes within the next
+ * milliseconds under overload sees the same freed slot, and all but one of their
+ * requests have to wait for another completion.
  */
 class InTransitCount
 {
 public:
-    /** A gateway is sending a request. */
+    /** Notes that a gateway announced a request at @p now. */
     void note(Instant now);
-    /** Those that a look at the engine at @p lookedAt does not show. */
-    std::uint32_t notVisibleAt(Instant lookedAt);
+    /** Number of requests that a report taken at @p reportedAt does not include. */
+    std::uint32_t notVisibleAt(Instant reportedAt);
 
 private:
     std::deque<Instant> mSentTimes; ///< oldest first
--- a/src/libloomjunction/core/noticestate.cpp
+++ b/src/libloomjunction/core/noticestate.cpp
@@ -10,7 +10,7 @@
 
 namespace Loom {
 
-NoticeChange NoticeState::hear(const ReplicaNotice &notice, Instant now)
+NoticeChange NoticeState::apply(const ReplicaNotice &notice, Instant now)
 {
     NoticeChange change;
     change.hasStartedLeaving = notice.isLeaving && !mIsLeaving;
@@ -18,7 +18,7 @@
     if (!notice.rest) {
         return change;
     }
-    // Answers overtake one another: a shorter rest that comes later ends none.
+    // Answers may arrive out of order, so a shorter rest never ends a longer one.
     const Instant until = now + *notice.rest;
     change.isRestExtended = until > mRestingUntil;
     mRestingUntil = change.isRestExtended ? until : mRestingUntil;
--- a/src/libloomjunction/core/noticestate.h
+++ b/src/libloomjunction/core/noticestate.h
@@ -17,15 +17,15 @@
 
 namespace Loom {
 
-/** What an answer says of whether its replica takes further requests of this gateway. */
+/** Headers of an answer that tell whether its replica accepts further requests. */
 struct ReplicaNotice
 {
-    bool isLeaving = false; ///< it ends soon and takes nothing more
-    std::optional<Microseconds> rest; ///< it takes nothing for so long
-    std::vector<std::string> unreadable; ///< headers that say something else, with their values
+    bool isLeaving = false; ///< the replica shuts down and accepts no more requests
+    std::optional<Microseconds> rest; ///< how long the replica wants no requests
+    std::vector<std::string> unreadable; ///< headers with invalid values, as log text
 };
 
-/** What a notice changed. */
+/** Changes that a notice caused. */
 struct NoticeChange
 {
     bool hasStartedLeaving = false;
@@ -33,20 +33,21 @@
 };
 
 /**
- * What one life of a replica told this gateway in its answers. Leaving is final; a rest ends
- * by its time. Nothing that others say of the replica takes either back.
+ * State of the notices that one incarnation of a replica sent this gateway in its answers.
+ * Leaving is final, and a rest ends when its time is over. Nothing that other processes say
+ * about the replica revokes either of them.
  */
 class NoticeState
 {
 public:
-    /** An answer that came @p now. */
-    NoticeChange hear(const ReplicaNotice &notice, Instant now);
+    /** Applies the notice of an answer that arrived at @p now. */
+    NoticeChange apply(const ReplicaNotice &notice, Instant now);
 
     bool isLeaving() const { return mIsLeaving; }
     bool isResting(Instant now) const { return mRestingUntil > now; }
-    /** End of the longest rest that was asked for; zero: none was. */
+    /** End of the rest that lasts longest; zero: no rest was asked for. */
     Instant restingUntil() const { return mRestingUntil; }
-    /** Whether it holds anything back at @p now. */
+    /** Whether a notice forbids requests at @p now. */
     bool isActive(Instant now) const { return mIsLeaving || isResting(now); }
 
 private:
--- a/src/libloomjunction/core/pendingqueries.h
+++ b/src/libloomjunction/core/pendingqueries.h
@@ -16,30 +16,31 @@
 namespace Loom {
 
 /**
- * Questions to another process on one ordered stream, each of which gets one answer.
- * Whatever the other says after it heard a question was said after the question was
- * sent, by this process's own clock: no clock in common is needed.
+ * Queries to another process on one ordered stream, each of which gets one answer.
+ * Whatever the peer sends after it received a query is newer than the time at which
+ * the query was sent, by this process's own clock. This bounds the age of messages
+ * without synchronized clocks.
  */
 class PendingQueries
 {
 public:
-    /** @p opened: when the first question, which opens the stream, was sent. */
+    /** @p opened: when the first query, which opens the stream, was sent. */
     explicit PendingQueries(Instant opened)
         : mUnanswered{opened}
         , mLastAnsweredSentAt(opened)
     {
     }
 
-    /** A question leaves @p now. */
+    /** Notes a query that is sent at @p now. */
     void ask(Instant now) { mUnanswered.push_back(now); }
-    /** An answer came: it was said no earlier than this; nothing: nobody asked. */
+    /** Notes an answer and returns the earliest time it can be from; empty: no query is open. */
     std::optional<Instant> answered();
-    /** Whatever came unasked after the last answer was said no earlier than this. */
+    /** Earliest time that an unsolicited message after the last answer can be from. */
     Instant heard() const { return mLastAnsweredSentAt; }
 
 private:
-    std::deque<Instant> mUnanswered; ///< when each was sent
-    Instant mLastAnsweredSentAt; ///< when the last was sent that the other is known to have heard
+    std::deque<Instant> mUnanswered; ///< send times of the open queries
+    Instant mLastAnsweredSentAt; ///< send time of the last query that the peer has received
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/probedchoice.cpp
+++ b/src/libloomjunction/core/probedchoice.cpp
@@ -24,32 +24,31 @@
 
 std::vector<const Replica *> ProbedChoice::replicasToProbe(Instant now)
 {
-    std::vector<std::string> passedOver = mExcluded;
-    passedOver.insert(passedOver.end(), mAsked.begin(), mAsked.end());
-    std::vector<const Replica *> replicas
-        = mReplicas.replicasToProbe(mQuery, mRound, passedOver, now);
+    std::vector<std::string> skipped = mExcluded;
+    skipped.insert(skipped.end(), mProbed.begin(), mProbed.end());
+    std::vector<const Replica *> replicas = mReplicas.replicasToProbe(mQuery, mRound, skipped, now);
     for (const Replica *replica : replicas) {
-        mAsked.push_back(replica->record.id);
+        mProbed.push_back(replica->record.id);
     }
     return replicas;
 }
 
-// An answer in time ends the search, and so does the word of ten that are busy:
-// more questions would find a place now and then, and cost everybody's agents most
-// when they have most to do. Only where none of them can be used at all, as while
-// weights change, others are asked.
+// The search ends when a replica meets the goal, or when all ten probed replicas are busy.
+// More probes would find a free slot occasionally, but they would load all agents most when
+// these are busiest. Further replicas are probed only if none of the ten is usable at all,
+// as during a change of weights.
 bool ProbedChoice::isEnough() const
 {
     const auto *chosen = std::get_if<ChosenReplica>(&mChoice);
-    const bool isInTime = chosen != nullptr && !chosen->isPatient;
+    const bool meetsGoal = chosen != nullptr && !chosen->isPatient;
     const bool isUsable = !std::holds_alternative<NoneUsable>(mChoice);
-    return !mAnswered.empty() && (isInTime || (isUsable && mRound != ProbeRound::Local));
+    return !mAnswered.empty() && (meetsGoal || (isUsable && mRound != ProbeRound::Local));
 }
 
-void ProbedChoice::decide(std::vector<std::string> answered, Microseconds took, Instant now)
+void ProbedChoice::decide(std::vector<std::string> answered, Microseconds elapsed, Instant now)
 {
     mAnswered = std::move(answered);
-    mQuery.waited = mWaitedBefore + std::chrono::duration_cast<Milliseconds>(took);
+    mQuery.waited = mWaitedBefore + std::chrono::duration_cast<Milliseconds>(elapsed);
     mQuery.answered = mAnswered;
     mChoice = mReplicas.choose(mQuery, now);
     if (isEnough() || mRound == ProbeRound::Any) {
--- a/src/libloomjunction/core/probedchoice.h
+++ b/src/libloomjunction/core/probedchoice.h
@@ -18,30 +18,32 @@
 namespace Loom {
 
 /**
- * One choice of a replica by what agents say right before it, in rounds: a few
- * near ones first, more only when these are full or cannot be used. The load
- * pattern it answers: hundreds of gateways before hundreds of replicas that turn a
- * request over every few hundred milliseconds, so that each gateway sends a replica
- * something every few seconds only. What others sent it meanwhile is not to be
- * known any other way than by asking.
+ * Chooses a replica by probing agents for their current load, in rounds: a few local
+ * replicas first, more only if these are full or unusable. It is made for hundreds of
+ * gateways in front of hundreds of replicas that complete a request every few hundred
+ * milliseconds. Each gateway then sends a request to a given replica only every few
+ * seconds, so that it cannot derive the replica's load from its own requests.
  */
 class ProbedChoice
 {
 public:
-    /** @p query views data that outlives this; @p silent: ids that need not be asked. */
+    /** @p query views data that outlives this; @p silent: ids that are not probed. */
     ProbedChoice(const ReplicaSet &replicas, const ReplicaQuery &query,
                  std::vector<std::string> silent);
     ProbedChoice(const ProbedChoice &) = delete;
     ProbedChoice &operator=(const ProbedChoice &) = delete;
 
-    /** No further question would help: choice() stands. */
+    /** Whether choice() is final, since further probes would not improve it. */
     bool isDone() const { return mIsDone; }
-    /** Whom to ask now; may be nobody. decide() must follow. */
+    /** The replicas to probe now, possibly none. A call of decide() must follow. */
     std::vector<const Replica *> replicasToProbe(Instant now);
-    /** All that were asked so far. */
-    std::span<const std::string> asked() const { return mAsked; }
-    /** Those of asked() that have answered by now; @p took: since the first replicasToProbe(). */
-    void decide(std::vector<std::string> answered, Microseconds took, Instant now);
+    /** Ids of all replicas that were probed so far. */
+    std::span<const std::string> asked() const { return mProbed; }
+    /**
+     * Chooses among the replicas in @p answered, the ids of asked() that have answered.
+     * @p elapsed: time since the first call of replicasToProbe().
+     */
+    void decide(std::vector<std::string> answered, Microseconds elapsed, Instant now);
     const ReplicaChoice &choice() const { return mChoice; }
 
 private:
@@ -50,8 +52,8 @@
     const ReplicaSet &mReplicas;
     ReplicaQuery mQuery;
     const Milliseconds mWaitedBefore;
-    std::vector<std::string> mExcluded; ///< silent ones, and those tried before
-    std::vector<std::string> mAsked;
+    std::vector<std::string> mExcluded; ///< silent replicas and those that were tried before
+    std::vector<std::string> mProbed;
     std::vector<std::string> mAnswered;
     ProbeRound mRound = ProbeRound::Local;
     ReplicaChoice mChoice = NoneUsable{};
--- a/src/libloomjunction/core/probeplan.cpp
+++ b/src/libloomjunction/core/probeplan.cpp
@@ -19,23 +19,23 @@
 
 namespace {
 
-// A fleet of this size or less is used by everybody as a whole. Beyond it, a
-// gateway that gets a few requests a second would use each replica so seldom
-// that neither connections nor what it knows of them last from one to the next.
+// Every gateway uses the whole of a fleet up to this size. In a larger fleet, a gateway with
+// a few requests per second would use each replica so rarely that neither connections nor
+// load reports would last from one request to the next.
 constexpr std::size_t sMaxSubset = 16;
-// Of those, in the own data centre where it has as many; the others take what
-// comes when one data centre is asked more than its engines can do.
+// Members of the subset in the gateway's own data centre, if it has as many. The remote ones
+// take the excess when a data centre gets more requests than its engines can handle.
 constexpr std::size_t sMaxLocalSubset = 12;
-// The best of four random replicas is nearly as good as the best of all, while
-// the loads are fresh; each further one costs two messages a request.
+// With fresh loads, the best of four random replicas is nearly as good as the best of all.
+// Each further probe costs two messages per request.
 constexpr std::size_t sLocalProbeCount = 4;
-// When those four are full, some more: under overload a place is free somewhere
-// most of the time.
+// Probes of a later round, when these four are full: under overload some replica has a free
+// slot most of the time.
 constexpr std::size_t sWiderProbeCount = 6;
-// Of those asked, one that nothing good is known of, to notice when it recovers
-// or has new weights.
+// Probed replicas that are not expected to be usable, to notice that they recover or have new
+// weights.
 constexpr std::size_t sDoubtfulProbeCount = 1;
-// What an agent said about loading weights holds for about as long as a load takes.
+// A report that the replica is loading weights is valid for about the duration of a load.
 constexpr Milliseconds sNotAcceptingTimeout{250};
 
 std::size_t probeCount(ProbeRound round)
@@ -43,31 +43,32 @@
     return round == ProbeRound::Local ? sLocalProbeCount : sWiderProbeCount;
 }
 
-// Moves up to @p most random ones of @p from to the end of @p to.
-void moveRandom(std::vector<const Replica *> &from, std::size_t most, ChoiceRandom &draws,
-                std::vector<const Replica *> &to)
+// Moves up to maxCount random elements from one list to the end of another.
+void moveRandom(std::vector<const Replica *> &source, std::size_t maxCount, ChoiceRandom &draws,
+                std::vector<const Replica *> &target)
 {
-    for (std::size_t count = 0; count < most && !from.empty(); ++count) {
-        const std::size_t index = draws.next() % from.size();
-        to.push_back(from[index]);
-        from[index] = from.back();
-        from.pop_back();
+    for (std::size_t count = 0; count < maxCount && !source.empty(); ++count) {
+        const std::size_t index = draws.next() % source.size();
+        target.push_back(source[index]);
+        source[index] = source.back();
+        source.pop_back();
     }
 }
 
 } // namespace
 
-// The heaviest for this gateway, so that a replica that comes or goes changes
-// one neighbour of some gateways and nothing else.
-void ProbePlan::appendHighestWeights(std::vector<const Replica *> pool, std::size_t most,
+// Selects the replicas with the highest rendezvous weights for this gateway. When a replica is
+// added or removed, the subsets of some gateways change by one member and all others stay.
+void ProbePlan::appendHighestWeights(std::vector<const Replica *> pool, std::size_t maxCount,
                                      std::vector<const Replica *> &chosen) const
 {
-    const std::size_t kept = std::min(most, pool.size());
-    const auto weight
-        = [&](const Replica *replica) { return rendezvousWeight(mEntry, replica->record.address); };
-    std::ranges::partial_sort(pool, pool.begin() + static_cast<std::ptrdiff_t>(kept),
+    const std::size_t count = std::min(maxCount, pool.size());
+    const auto weight = [&](const Replica *replica) {
+        return rendezvousWeight(mGatewayKey, replica->record.address);
+    };
+    std::ranges::partial_sort(pool, pool.begin() + static_cast<std::ptrdiff_t>(count),
                               std::ranges::greater(), weight);
-    chosen.insert(chosen.end(), pool.begin(), pool.begin() + static_cast<std::ptrdiff_t>(kept));
+    chosen.insert(chosen.end(), pool.begin(), pool.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
 std::vector<const Replica *> ProbePlan::subset(std::span<const Replica *const> usable) const
@@ -75,22 +76,23 @@
     if (usable.size() <= sMaxSubset) {
         return {usable.begin(), usable.end()};
     }
-    std::vector<const Replica *> near;
-    std::vector<const Replica *> far;
+    std::vector<const Replica *> local;
+    std::vector<const Replica *> remote;
     for (const Replica *replica : usable) {
-        const bool isNear = replica->record.dataCentre == mQuery.dataCentre;
-        (isNear ? near : far).push_back(replica);
+        const bool isLocal = replica->record.dataCentre == mQuery.dataCentre;
+        (isLocal ? local : remote).push_back(replica);
     }
     std::vector<const Replica *> chosen;
-    const std::size_t mostNear
-        = far.size() < sMaxSubset - sMaxLocalSubset ? sMaxSubset - far.size() : sMaxLocalSubset;
-    appendHighestWeights(std::move(near), mostNear, chosen);
-    appendHighestWeights(std::move(far), sMaxSubset - chosen.size(), chosen);
+    const std::size_t maxLocal = remote.size() < sMaxSubset - sMaxLocalSubset
+        ? sMaxSubset - remote.size()
+        : sMaxLocalSubset;
+    appendHighestWeights(std::move(local), maxLocal, chosen);
+    appendHighestWeights(std::move(remote), sMaxSubset - chosen.size(), chosen);
     return chosen;
 }
 
-// As far as is known: it has weights that may be used, also from here, and is not
-// away for a load.
+// Whether the replica is expected to be usable from here, by its last known weights and
+// state: it is not loading, and its weights are neither outdated nor, if remote, about to expire.
 bool ProbePlan::isPromising(const Replica &replica) const
 {
     const bool isRemote = replica.record.dataCentre != mQuery.dataCentre;
@@ -99,15 +101,16 @@
     if (isRemote && isOverSoon) {
         return false;
     }
-    const bool isAway = replica.load && !replica.load->isAccepting
+    const bool isLoading = replica.load && !replica.load->isAccepting
         && mNow - replica.loadAt <= sNotAcceptingTimeout;
     const std::uint64_t version = replica.weightsVersion();
-    return !isAway && version != 0 && version >= mQuery.minVersion && replica.avoidedUntil <= mNow;
+    return !isLoading && version != 0 && version >= mQuery.minVersion
+        && replica.avoidedUntil <= mNow;
 }
 
 std::vector<const Replica *> ProbePlan::choose(ProbeRound round,
                                                std::span<const Replica *const> usable,
-                                               std::span<const std::string> asked) const
+                                               std::span<const std::string> probed) const
 {
     std::vector<const Replica *> pool = round == ProbeRound::Any
         ? std::vector<const Replica *>(usable.begin(), usable.end())
@@ -115,19 +118,19 @@
     std::vector<const Replica *> promising;
     std::vector<const Replica *> doubtful;
     for (const Replica *replica : pool) {
-        const bool isAsked = std::ranges::find(asked, replica->record.id) != asked.end();
-        const bool isTooFar
+        const bool isProbed = std::ranges::find(probed, replica->record.id) != probed.end();
+        const bool isOutOfScope
             = round == ProbeRound::Local && replica->record.dataCentre != mQuery.dataCentre;
-        if (!isAsked && !isTooFar) {
+        if (!isProbed && !isOutOfScope) {
             (isPromising(*replica) ? promising : doubtful).push_back(replica);
         }
     }
     ChoiceRandom draws(mQuery.random + static_cast<std::uint64_t>(round));
     std::vector<const Replica *> chosen;
-    const std::size_t most = probeCount(round);
-    const std::size_t doubts = std::min(sDoubtfulProbeCount, doubtful.size());
-    moveRandom(promising, most - doubts, draws, chosen);
-    moveRandom(doubtful, most - chosen.size(), draws, chosen);
+    const std::size_t maxCount = probeCount(round);
+    const std::size_t doubtfulCount = std::min(sDoubtfulProbeCount, doubtful.size());
+    moveRandom(promising, maxCount - doubtfulCount, draws, chosen);
+    moveRandom(doubtful, maxCount - chosen.size(), draws, chosen);
     return chosen;
 }
 
--- a/src/libloomjunction/core/probeplan.h
+++ b/src/libloomjunction/core/probeplan.h
@@ -20,42 +20,42 @@
 
 namespace Loom {
 
-/** How far a gateway looks for a replica, one step after the other. */
+/** The rounds in which a gateway probes replicas, each with a wider scope. */
 enum class ProbeRound : std::uint8_t
 {
-    Local, ///< a few neighbours in its own data centre
-    Subset, ///< more of all neighbours
+    Local, ///< a few replicas of the subset in the gateway's own data centre
+    Subset, ///< more replicas of the subset, in any data centre
     Any, ///< a few of all replicas
 };
 
 /**
- * Which replicas a gateway uses, and which of them it asks for their load
- * before it sends a request. What a gateway and an agent have to do for it grows
- * with the requests that come to them, not with the size of the whole.
+ * Selects the subset of replicas that a gateway uses, and those that it probes for
+ * their load before it sends a request. The work of gateways and agents grows with
+ * their own request rate, not with the size of the fleet.
  */
 class ProbePlan
 {
 public:
-    /** @p entry: the gateway's own key. Two gateways use different neighbours. */
-    ProbePlan(std::string_view entry, const ReplicaQuery &query, Instant now)
-        : mEntry(entry)
+    /** @p gatewayKey: identifies the gateway, so that gateways use different subsets. */
+    ProbePlan(std::string_view gatewayKey, const ReplicaQuery &query, Instant now)
+        : mGatewayKey(gatewayKey)
         , mQuery(query)
         , mNow(now)
     {
     }
 
-    /** Those of @p usable that this gateway keeps links to. */
+    /** The replicas out of @p usable that this gateway keeps connections to. */
     std::vector<const Replica *> subset(std::span<const Replica *const> usable) const;
-    /** Whom to ask in @p round, of @p usable, without those in @p asked. */
+    /** The replicas out of @p usable to probe in @p round, without those in @p probed. */
     std::vector<const Replica *> choose(ProbeRound round, std::span<const Replica *const> usable,
-                                        std::span<const std::string> asked) const;
+                                        std::span<const std::string> probed) const;
 
 private:
     void appendHighestWeights(std::vector<const Replica *> pool, std::size_t most,
                               std::vector<const Replica *> &chosen) const;
     bool isPromising(const Replica &replica) const;
 
-    std::string_view mEntry;
+    std::string_view mGatewayKey;
     const ReplicaQuery &mQuery;
     Instant mNow;
 };
--- a/src/libloomjunction/core/refusalratio.cpp
+++ b/src/libloomjunction/core/refusalratio.cpp
@@ -14,26 +14,26 @@
 
 namespace {
 
-// About as long as a request holds its place at a full engine: whoever is let in now
-// is in the way for that time.
+// About as long as a request occupies its slot at a full engine: a request that is
+// admitted now blocks others for that time.
 constexpr double sHalfLifeMs = 1'000;
-// Stands for calls before the first one, so that a single refusal says little.
+// Virtual calls before the first one, so that a single refusal has little weight.
 constexpr double sPriorCalls = 4;
 
 } // namespace
 
 void RefusalRatio::note(bool hasRoom, Instant now)
 {
-    const double kept = keptAfter(now - mAt, sHalfLifeMs);
-    mCalls = mCalls * kept + 1;
-    mRefused = mRefused * kept + (hasRoom ? 0 : 1);
+    const double decay = keptAfter(now - mAt, sHalfLifeMs);
+    mCalls = mCalls * decay + 1;
+    mRefused = mRefused * decay + (hasRoom ? 0 : 1);
     mAt = now;
 }
 
 double RefusalRatio::ratio(Instant now) const
 {
-    const double kept = keptAfter(now - mAt, sHalfLifeMs);
-    return mRefused * kept / (mCalls * kept + sPriorCalls);
+    const double decay = keptAfter(now - mAt, sHalfLifeMs);
+    return mRefused * decay / (mCalls * decay + sPriorCalls);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/refusalratio.h
+++ b/src/libloomjunction/core/refusalratio.h
@@ -13,21 +13,21 @@
 namespace Loom {
 
 /**
- * Of the calls that could have been answered within their goals, the share that found
- * no room of late. It tells whether a place that turns free is wanted by somebody.
+ * Recent ratio of refused calls among those that could have met their goals. It tells
+ * whether waiting callers would use a slot that becomes free.
  */
 class RefusalRatio
 {
 public:
-    /** A call came that could still be in time; @p hasRoom: it was given a place. */
+    /** Counts a call that could meet its goal; @p hasRoom: a replica was found for it. */
     void note(bool hasRoom, Instant now);
-    /** From 0 to 1. */
+    /** The ratio at @p now, from 0 to 1. */
     double ratio(Instant now) const;
 
 private:
-    double mCalls = 0;
-    double mRefused = 0;
-    Instant mAt; ///< of the last call
+    double mCalls = 0; ///< decayed count
+    double mRefused = 0; ///< decayed count
+    Instant mAt; ///< time of the last call
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/replica.cpp
+++ b/src/libloomjunction/core/replica.cpp
@@ -12,9 +12,9 @@
 
 namespace Loom {
 
-std::string_view unavailableReasonName(UnavailableReason held)
+std::string_view unavailableReasonName(UnavailableReason reason)
 {
-    switch (held) {
+    switch (reason) {
     case UnavailableReason::Nothing:
         return "";
     case UnavailableReason::Gone:
@@ -53,8 +53,8 @@
 
 Instant Replica::availableAt(Instant now) const
 {
-    const Instant rested = notices.isResting(now) ? notices.restingUntil() : Instant();
-    return std::max(rested, isRateLimited(now) ? rateLimitedUntil : Instant());
+    const Instant restEnd = notices.isResting(now) ? notices.restingUntil() : Instant();
+    return std::max(restEnd, isRateLimited(now) ? rateLimitedUntil : Instant());
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/replica.h
+++ b/src/libloomjunction/core/replica.h
@@ -22,27 +22,30 @@
 
 namespace Loom {
 
-/** Stands between a replica's id and the start of one of its lives. */
+/** Separates a replica's id from its start time in the name of an incarnation. */
 inline constexpr char sIncarnationSeparator = '@';
 
-/** What a replica says of itself in the store. */
+/** The record that a replica publishes about itself in the store. */
 struct ReplicaRecord
 {
-    std::string id; ///< a later life may have the same
-    std::uint64_t born = 0; ///< when this life started, as it says; zero: untold
+    std::string id; ///< may be reused after a restart
+    std::uint64_t born = 0; ///< start time of this incarnation as it reports it; zero: unknown
     std::string service;
     std::string address; ///< IP:PORT
     std::string dataCentre;
     std::uint32_t slots = 1;
-    std::uint64_t offset = 0; ///< of the record in the store; later lives have higher ones
+    std::uint64_t offset = 0; ///< position in the store; higher for later incarnations
     bool isDraining = false;
-    /** Version of the weights that are loaded whole; zero: none, or a plain service. */
+    /** Version of the completely loaded weights; zero: none are, or the service has none. */
     std::uint64_t weightsVersion = 0;
 
-    /** Tells this life from others in what processes tell each other. */
+    /** Name of this incarnation in messages between processes: its id and its start time. */
     std::string incarnation() const { return id + sIncarnationSeparator + std::to_string(born); }
 
-    /** Tells of the life that began at @p start. What was told without a start may be of any. */
+    /**
+     * Whether this record may describe the incarnation that began at @p start. An unknown
+     * start time on either side matches any incarnation.
+     */
     bool isSameIncarnation(std::uint64_t start) const
     {
         return born == 0 || start == 0 || born == start;
@@ -52,7 +55,7 @@
         return !isSameIncarnation(other.born);
     }
 
-    /** The same but for its place in the store. */
+    /** Whether all fields but the position in the store are equal. */
     bool hasSameContent(const ReplicaRecord &other) const
     {
         return id == other.id && born == other.born && service == other.service
@@ -61,13 +64,13 @@
     }
 };
 
-/** What another process knows of a replica's limit. */
+/** A replica's rate limit as another process reports it. */
 struct ReportedLimit
 {
-    std::string incarnation; ///< of the replica, see ReplicaRecord::life()
-    std::optional<double> perSecond; ///< nothing: it named none any more
-    Instant heardAt; ///< the answer that said so
-    Microseconds wait{0}; ///< until a request may be sent under it
+    std::string incarnation; ///< see ReplicaRecord::incarnation()
+    std::optional<double> perSecond; ///< empty: the replica no longer has a limit
+    Instant heardAt; ///< when the replica's answer with this limit arrived
+    Microseconds wait{0}; ///< time until the limit permits the next request
 
     /** Id of the replica. */
     std::string_view replica() const
@@ -76,83 +79,83 @@
     }
 };
 
-/** What the agent of a replica's box says of it, as it stands right now. */
+/** Current state of a replica as the agent on its box reports it. */
 struct ReplicaLoad
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    std::uint32_t waitingPatient = 0; ///< of those: sent as patient, by all gateways
+    std::uint32_t waitingPatient = 0; ///< waiting requests that any gateway sent as patient
     std::uint64_t memoryUsed = 0;
     std::uint64_t memoryTotal = 0;
-    double pace = 1; ///< above one: slower than it should be
-    std::uint64_t weightsVersion = 0; ///< loaded whole; zero: none
-    bool isLinkSlow = false; ///< what is sent to its box may arrive late
-    bool isAccepting = true; ///< false while it loads weights or leaves
-    /** Requests on their way are counted as waiting, those of this entry among them. */
+    double pace = 1; ///< slowdown against the engine's nominal speed; one: none
+    std::uint64_t weightsVersion = 0; ///< completely loaded weights; zero: none
+    bool isLinkSlow = false; ///< the link to its box is congested and delays requests
+    bool isAccepting = true; ///< false while it loads weights or shuts down
+    /** Whether the waiting requests include those in transit, also those of this gateway. */
     bool includesInTransit = false;
-    /** From the question until this answer to it was here; zero: it was not asked for. */
+    /** Time between the probe and this answer; zero: the report was unsolicited. */
     Microseconds roundTrip{0};
-    std::optional<ReportedLimit> limit; ///< nothing: the agent knows of none
+    std::optional<ReportedLimit> limit; ///< empty: the agent knows no limit
 };
 
-/** How a request that was sent to a replica ended, for the choice of later ones. */
+/** How a request to a replica ended; it affects later choices. */
 enum class ReplicaOutcome : std::uint8_t
 {
     Answered,
-    Failed, ///< it answered with a failure of its own
-    Refused, ///< it said that it did not run the request
-    Broken, ///< no answer, or none that can be trusted
+    Failed, ///< the replica answered with an error
+    Refused, ///< the replica answered that it did not run the request
+    Broken, ///< no answer, or an incomplete or invalid one
     Unreachable, ///< no connection; nothing was sent
-    Abandoned, ///< the caller left, or its time was over
+    Abandoned, ///< the caller disconnected or its deadline passed
 };
 
-/** Why nothing may be sent to a replica, whatever its load and weights are. */
+/** Why no request may be sent to a replica, independent of its load and weights. */
 enum class UnavailableReason : std::uint8_t
 {
-    Nothing, ///< it may be sent to
-    Gone, ///< the store took its record away, or another life has its address
-    Draining, ///< by its record
-    Leaving, ///< by its own answers
-    Resting, ///< it asked for it, and takes requests again later
+    Nothing, ///< the replica is available
+    Gone, ///< its record was removed, or another incarnation took over its address
+    Draining, ///< its record says that it drains
+    Leaving, ///< its answers say that it shuts down
+    Resting, ///< its answers asked for a pause that has not ended
 };
-std::string_view unavailableReasonName(UnavailableReason held);
+std::string_view unavailableReasonName(UnavailableReason reason);
 
-/** One replica as this entry sees it. */
+/** State of one replica as this gateway knows it. */
 struct Replica
 {
     ReplicaRecord record;
-    std::uint32_t inFlight = 0; ///< sent by this entry and not ended
-    std::optional<ReplicaLoad> load; ///< what its agent said last
+    std::uint32_t inFlight = 0; ///< requests of this gateway that have not ended
+    std::optional<ReplicaLoad> load; ///< latest report of its agent
     Instant loadAt;
-    double reportIntervalMs = 0; ///< smoothed time between two reports of its agent
-    std::uint32_t startedSinceReport = 0; ///< by this entry, that the agent cannot have counted
-    std::vector<Instant> recentStarts; ///< times of those, and of some before
-    std::uint32_t endedSinceReport = 0; ///< of those, and of earlier ones
-    std::uint32_t awaitingFirstByte = 0; ///< sent by this entry, without a first byte of an answer
-    std::uint32_t patientWaiting = 0; ///< of those: sent as patient
-    Instant avoidedUntil;
-    std::uint32_t failures = 0; ///< in a row
-    double failureRate = 0; ///< smoothed share of requests that failed
-    double answerMs = 0; ///< smoothed time to an answer or a first event
+    double reportIntervalMs = 0; ///< smoothed time between reports of its agent
+    std::uint32_t startedSinceReport = 0; ///< requests of this gateway that the report lacks
+    std::vector<Instant> recentStarts; ///< start times of these requests and some earlier ones
+    std::uint32_t endedSinceReport = 0; ///< requests of this gateway that ended after the report
+    std::uint32_t awaitingFirstByte = 0; ///< requests of this gateway without a first byte yet
+    std::uint32_t patientWaiting = 0; ///< requests in awaitingFirstByte that are patient
+    Instant avoidedUntil; ///< end of the backoff after failures and refusals
+    std::uint32_t failures = 0; ///< consecutive failures
+    double failureRate = 0; ///< smoothed fraction of requests that failed
+    double answerMs = 0; ///< smoothed time to the answer or its first event
     NoticeState notices;
     ConcurrencyLimit concurrencyLimit;
     NamedLimit limit;
-    Instant rateLimitedUntil; ///< under that limit
-    std::deque<Instant> recentSends; ///< by this entry, within the span that permits count
-    Instant removedAt; ///< the store took its record away; zero: it did not
+    Instant rateLimitedUntil; ///< when the limit permits the next request
+    std::deque<Instant> recentSends; ///< send times of this gateway within sSendSpan
+    Instant removedAt; ///< when the replica counts as removed; zero: it does not
 
-    /** The one word on whether a request may be sent to it at @p now. */
+    /** Decides alone whether requests may be sent to the replica at @p now. */
     UnavailableReason unavailableReason(Instant now) const;
 
-    /** It named a limit, and no send to it is left at @p now. */
+    /** Whether the replica has a rate limit that permits no request at @p now. */
     bool isRateLimited(Instant now) const { return limit.perSecond() && rateLimitedUntil > now; }
-    /** When a replica that rests or is held up by its limit may be sent to; zero: now. */
+    /** When the replica's rest and its rate limit permit the next request; zero: now. */
     Instant availableAt(Instant now) const;
 
-    /** Requests of all gateways that it holds, as far as its agent told; else of this one. */
+    /** Requests of all gateways at the replica; without a report, those of this gateway. */
     double heldRequests() const;
 
-    /** Of the weights loaded now: the agent knows sooner than the store. */
+    /** Version of the loaded weights. The agent's report is newer than the store's record. */
     std::uint64_t weightsVersion() const
     {
         return load ? load->weightsVersion : record.weightsVersion;
--- a/src/libloomjunction/core/replicaestimate.cpp
+++ b/src/libloomjunction/core/replicaestimate.cpp
@@ -16,46 +16,47 @@
 
 namespace {
 
-// An agent speaks several times a second; older reports say little.
+// Agents report several times per second; an older report is outdated.
 constexpr Milliseconds sMaxLoadAge{1'500};
-// Two reports missed: whatever is sent to that box may lie there for long.
+// Two reports are missing after this time: requests to that box may be stuck for long.
 constexpr Milliseconds sAgentSilenceTimeout{350};
-// A replica that fails this share of its requests gets only what the others cannot take.
+// A replica that fails this fraction of its requests gets only what others cannot take.
 constexpr double sDegradedFailureRate = 0.25;
-// The way to another data centre and back, and what its bytes cost. Milliseconds.
+// Round trip to another data centre, and the price of its traffic, in milliseconds.
 constexpr double sRemotePenaltyMs = 45;
-// Requests and events wait on its link. Milliseconds.
+// Queueing of requests and events on a congested link, in milliseconds.
 constexpr double sSlowLinkPenaltyMs = 200;
-// A request that fails has to be sent again, or is lost.
+// A failed request has to be sent again or is lost. Milliseconds at a failure rate of one.
 constexpr double sFailurePenaltyMs = 500;
-// Slower than the fastest by this factor is not noise of the requests' sizes.
+// A replica that is slower than the fastest by this factor is really slow: different sizes of
+// the requests do not explain it.
 constexpr double sSlowFactor = 2.5;
 constexpr double sSlowEngineFactor = 4;
-// Stricter, where being late breaks a promise: twice the fastest is suspicious.
+// Stricter factor for expiring weights, where a late start would break a guarantee.
 constexpr double sSuspiciousLatencyFactor = 2;
-// So long before a replica's weights may begin nothing more, the least doubt counts.
+// In this last period before the weights expire, the slightest doubt excludes a replica.
 constexpr Milliseconds sImminentExpiry{1'300};
-// An agent that answers within it stands behind a link that is not full: no choice
-// waits longer for its answers.
+// An agent that answers within this time is behind an uncongested link. No choice waits
+// longer for answers.
 constexpr Microseconds sMaxProbeRoundTrip{50'000};
-// Request and connection on their way to a replica that may be under load.
+// Allowance for the connection and the request to reach a replica that may be under load.
 constexpr double sTransitAllowanceMs = 400;
 constexpr double sMaxStartDelayMs = 250;
 constexpr Milliseconds sMaxFreshLoadAge{150};
-// Requests that a plain replica may hold beyond its slots before others are refused.
+// Requests that a plain replica may queue before others are refused, per slot.
 constexpr double sPlainQueueFactor = 1.0;
-// More than a new connection takes: the caller tried before.
+// A longer wait is not explained by a new connection: the caller has tried before.
 constexpr Milliseconds sMinRetryWait{50};
-// Waiting requests that a resumed stream may find at a replica, as a part of its
-// slots: about a second's work.
+// Requests that may wait ahead of a resumed stream, as a fraction of the slots: about a
+// second of work.
 constexpr double sResumedQueueFactor = 0.6;
 
 } // namespace
 
 bool ReplicaEstimator::isUsable(const Replica &replica) const
 {
-    const bool isHeldBack = replica.unavailableReason(mNow) != UnavailableReason::Nothing;
-    if (replica.record.service != mQuery.service || isHeldBack) {
+    const bool isUnavailable = replica.unavailableReason(mNow) != UnavailableReason::Nothing;
+    if (replica.record.service != mQuery.service || isUnavailable) {
         return false;
     }
     if (replica.avoidedUntil > mNow || replica.isRateLimited(mNow)) {
@@ -79,53 +80,53 @@
 
 bool ReplicaEstimator::isSlow(const Replica &replica) const
 {
-    // Engines answer later the fuller they are; their load is looked at by itself.
+    // Engines answer later the fuller they are, and their load is evaluated separately.
     const double factor = mQuery.engine == nullptr ? sSlowFactor : sSlowEngineFactor;
     return mMinAnswerMs > 0 && replica.answerMs > mMinAnswerMs * factor;
 }
 
-// Patient requests of all gateways that wait at the replica; they delay nobody else.
+// Waiting patient requests of all gateways at the replica. They do not delay other requests.
 std::uint32_t ReplicaEstimator::waitingPatientRequests(const Replica &replica) const
 {
-    std::uint32_t told = 0;
+    std::uint32_t reported = 0;
     if (replica.load && mNow - replica.loadAt <= sMaxLoadAge) {
-        told = std::min(replica.load->waitingPatient, replica.load->waiting);
+        reported = std::min(replica.load->waitingPatient, replica.load->waiting);
     }
-    return std::max(told, replica.patientWaiting);
+    return std::max(reported, replica.patientWaiting);
 }
 
-// What the agent said, corrected by what this gateway did since. Without its
-// agent, the others are taken to send as much as this gateway.
+// The load that the agent reported, corrected by this gateway's requests since then. Without a
+// report, every other gateway is assumed to send as much as this one.
 EngineLoad ReplicaEstimator::engineLoad(const Replica &replica) const
 {
-    EngineLoad work;
+    EngineLoad estimated;
     if (!replica.load || mNow - replica.loadAt > sMaxLoadAge) {
-        const double all = std::max<std::uint32_t>(mQuery.gatewayCount, 1);
-        work.waitingPrompts = replica.awaitingFirstByte * all;
-        work.running
-            = (replica.inFlight - std::min(replica.awaitingFirstByte, replica.inFlight)) * all;
-        return work;
+        const double gateways = std::max<std::uint32_t>(mQuery.gatewayCount, 1);
+        estimated.waitingPrompts = replica.awaitingFirstByte * gateways;
+        estimated.running
+            = (replica.inFlight - std::min(replica.awaitingFirstByte, replica.inFlight)) * gateways;
+        return estimated;
     }
     const ReplicaLoad &load = *replica.load;
-    work.pace = std::max(1.0, load.pace);
-    work.running = std::max(0.0, load.running - static_cast<double>(replica.endedSinceReport));
-    work.waitingPrompts = load.waiting + replica.startedSinceReport;
-    return work;
+    estimated.pace = std::max(1.0, load.pace);
+    estimated.running = std::max(0.0, load.running - static_cast<double>(replica.endedSinceReport));
+    estimated.waitingPrompts = load.waiting + replica.startedSinceReport;
+    return estimated;
 }
 
 ReplicaEstimate ReplicaEstimator::engineEstimate(const Replica &replica) const
 {
     const EngineModel model(*mQuery.engine);
     const double slots = std::max<std::uint32_t>(replica.record.slots, 1);
-    EngineLoad work = engineLoad(replica);
-    const double all = work.running + work.waitingPrompts;
-    work.waitingPrompts = std::max(0.0, work.waitingPrompts - waitingPatientRequests(replica));
+    EngineLoad load = engineLoad(replica);
+    const double all = load.running + load.waitingPrompts;
+    load.waitingPrompts = std::max(0.0, load.waitingPrompts - waitingPatientRequests(replica));
     ReplicaEstimate offer;
-    offer.load = (work.running + work.waitingPrompts) / slots;
-    offer.answer = model.firstEventMs(work, mQuery.promptTokens);
+    offer.load = (load.running + load.waitingPrompts) / slots;
+    offer.answer = model.firstEventMs(load, mQuery.promptTokens);
     offer.cost = offer.answer;
-    const bool isFull = work.running + work.waitingPrompts >= slots;
-    offer.step
+    const bool isFull = load.running + load.waitingPrompts >= slots;
+    offer.costPerRequest
         = isFull ? model.completionIntervalMs() : model.promptReadMs(mQuery.engine->usualPrompt);
     const double goal
         = static_cast<double>((mQuery.goal - mQuery.waited).count()) * sPlannableGoalFraction;
@@ -133,10 +134,10 @@
         offer.cost += sSlowLinkPenaltyMs;
     }
     offer.meetsGoal = offer.answer <= goal;
-    // What is asked for with a longer goal would otherwise take all the room.
+    // Requests with longer goals would otherwise take all the capacity.
     const double idle = model.firstEventMs({}, 0);
     const double shortest = std::max(static_cast<double>(mShortestGoal.count()), 2 * idle);
-    offer.room = model.room(work, 0, std::min(goal, shortest * sPlannableGoalFraction));
+    offer.room = model.room(load, 0, std::min(goal, shortest * sPlannableGoalFraction));
     offer.freeSlots = std::max(0.0, slots - all);
     const double places = mQuery.isResumed ? slots * (1 + sResumedQueueFactor) : slots;
     offer.acceptsLate = all + 1 <= places;
@@ -155,23 +156,23 @@
     return offer;
 }
 
-// A replica that is sent little looks free. It takes one request; what comes next waits
-// for its turn under the limit.
-void ReplicaEstimator::applyRateLimit(ReplicaEstimate &offer)
+// A rate limited replica looks idle because it gets few requests. It is offered one request
+// at a time, since further ones have to wait for the limit.
+void ReplicaEstimator::applyRateLimit(ReplicaEstimate &estimate)
 {
-    offer.room = std::min(offer.room, 1.0);
-    offer.freeSlots = std::min(offer.freeSlots, 1.0);
+    estimate.room = std::min(estimate.room, 1.0);
+    estimate.freeSlots = std::min(estimate.freeSlots, 1.0);
 }
 
-// It would ask for rest again. The rest of a stream is tried all the same: its caller has no
-// other way to it.
+// A further request would make the replica ask for another rest. Resumed streams are exempt,
+// because their callers cannot get the remaining events otherwise.
 bool ReplicaEstimator::isAtConcurrencyLimit(const Replica &replica) const
 {
-    const auto most = replica.concurrencyLimit.most(mNow);
+    const auto most = replica.concurrencyLimit.limit(mNow);
     return most && !mQuery.isResumed && replica.heldRequests() + 1 > *most;
 }
 
-ReplicaEstimate ReplicaEstimator::offer(const Replica &replica) const
+ReplicaEstimate ReplicaEstimator::estimate(const Replica &replica) const
 {
     ReplicaEstimate offer
         = mQuery.engine == nullptr ? plainEstimate(replica) : engineEstimate(replica);
@@ -196,49 +197,50 @@
     return offer;
 }
 
-// Its agent was asked for this choice, and the way there and back was short.
+// Whether the replica's agent was probed for this choice and answered quickly.
 bool ReplicaEstimator::hasJustBeenProbed(const Replica &replica) const
 {
-    const bool isAnswered
+    const bool hasAnswered
         = std::ranges::find(mQuery.answered, replica.record.id) != mQuery.answered.end();
-    const bool isHeard = replica.load && mNow - replica.loadAt <= sAgentSilenceTimeout;
-    if (!isAnswered || !isHeard) {
+    const bool isFresh = replica.load && mNow - replica.loadAt <= sAgentSilenceTimeout;
+    if (!hasAnswered || !isFresh) {
         return false;
     }
     const Microseconds roundTrip = replica.load->roundTrip;
     return roundTrip != Microseconds(0) && roundTrip <= sMaxProbeRoundTrip;
 }
 
-// Whether a request that is sent mNow surely begins before the replica's weights
-// are over. With little time left, nothing may say that its way or its wait is
-// long, and what is known must be fresh.
+// Whether a request that is sent now certainly starts before the replica's weights expire.
+// With little time left, nothing may indicate a slow link or a long queue, and the report
+// must be fresh.
 bool ReplicaEstimator::startsBeforeExpiry(const Replica &replica) const
 {
     const std::uint64_t version = replica.weightsVersion();
     if (!mQuery.weights->isOverSoon(mQuery.model, version, mNow)) {
         return true;
     }
-    // A link between data centres may fill up right after an answer, and the reset of
-    // a request that lies on it comes behind the request.
+    // A link between data centres may become congested right after an answer. The reset of a
+    // request that is queued on it arrives only after the request.
     const bool isRemote = replica.record.dataCentre != mQuery.dataCentre;
     if (isRemote || !hasJustBeenProbed(replica) || replica.load->isLinkSlow
         || replica.failures > 0) {
         return false;
     }
-    // The time passed on while agents were asked.
+    // The weights may have expired while agents were probed.
     const auto giveUp = mQuery.weights->giveUpAt(mQuery.model, version);
     if (*giveUp <= mNow) {
         return false;
     }
-    const auto over = mQuery.weights->overAt(mQuery.model, version);
-    const double left = std::chrono::duration<double, std::milli>(*over - mNow).count();
+    const auto expiry = mQuery.weights->overAt(mQuery.model, version);
+    const double left = std::chrono::duration<double, std::milli>(*expiry - mNow).count();
     const double answer = engineEstimate(replica).answer;
     if (left > sImminentExpiry.count()) {
         return answer * sSuspiciousLatencyFactor + sTransitAllowanceMs <= left;
     }
-    const bool wasLate
+    const bool isSuspiciouslySlow
         = mMinAnswerMs > 0 && replica.answerMs > mMinAnswerMs * sSuspiciousLatencyFactor;
-    return mNow - replica.loadAt <= sMaxFreshLoadAge && !wasLate && answer <= sMaxStartDelayMs;
+    return mNow - replica.loadAt <= sMaxFreshLoadAge && !isSuspiciouslySlow
+        && answer <= sMaxStartDelayMs;
 }
 
 bool ReplicaEstimator::isSilent(const Replica &replica) const
--- a/src/libloomjunction/core/replicaestimate.h
+++ b/src/libloomjunction/core/replicaestimate.h
@@ -20,55 +20,56 @@
 
 class WeightsGoal;
 
-/** Part of a goal that may be planned with; the rest is for what is not known. */
+/** Fraction of a goal that plans may use; the rest is a margin for estimation errors. */
 inline constexpr double sPlannableGoalFraction = 0.85;
 
-/** What a request needs of a replica. */
+/** What a request requires of a replica. */
 struct ReplicaQuery
 {
     std::string_view service;
-    std::string_view dataCentre; ///< of this entry
-    const EngineFigures *engine = nullptr; ///< null for a plain service
+    std::string_view dataCentre; ///< the gateway's own one
+    const EngineFigures *engine = nullptr; ///< null for a service without an engine model
     Milliseconds goal{0};
     double promptTokens = 0; ///< zero: unknown
-    std::uint64_t minVersion = 0; ///< of the weights; zero: any, and none is needed
-    /** Of the named weights and their model: which are over soon. Null for a plain service. */
+    std::uint64_t minVersion = 0; ///< lowest usable version of the weights; zero: none is needed
+    /** Knows which versions of @c model expire soon. Null for a plain service. */
     const WeightsGoal *weights = nullptr;
     std::string_view model;
-    std::uint32_t gatewayCount = 1; ///< that share the replicas
-    /** Since the caller first tried, here or elsewhere; the goal counts from then. */
+    std::uint32_t gatewayCount = 1; ///< gateways that share the replicas
+    /** Time since the caller's first attempt at any gateway; the goal counts from then. */
     Milliseconds waited{0};
-    /** Until the caller gives up; zero: unknown. */
+    /** Time until the caller gives up; zero: unknown. */
     Milliseconds timeLeft{0};
-    /** The caller has the beginning of its answer and waits for the rest. */
+    /** The caller has received the start of a stream that has to be continued. */
     bool isResumed = false;
-    std::span<const std::string> excluded; ///< ids
-    /** Ids whose agents answered just now: only these are chosen from. Empty: all are. */
+    std::span<const std::string> excluded; ///< ids of replicas that must not be chosen
+    /** Ids of replicas whose agents just answered a probe; the choice is limited to them.
+        Empty: it is not. */
     std::span<const std::string> answered;
-    std::uint64_t random = 0;
+    std::uint64_t random = 0; ///< seed of the random decisions
 };
 
-/** What a replica can do for one request. Times in milliseconds. */
+/** Prediction for one request at one replica. Times in milliseconds. */
 struct ReplicaEstimate
 {
-    double answer = 0; ///< expected time to an answer or a first event
-    double cost = 0; ///< of choosing it, for comparison
-    double step = 1; ///< by which one more request raises the cost
-    double load = 0; ///< requests ahead, for each slot
-    double room = 0; ///< further requests that it could take within the goal
-    double freeSlots = 0; ///< slots that nobody runs in or waits for
-    bool meetsGoal = false; ///< it meets the goal
-    bool acceptsLate = false; ///< it takes a request that misses the goal
+    double answer = 0; ///< expected time to the answer or its first event
+    double cost = 0; ///< expected time plus penalties, to compare replicas
+    double costPerRequest = 1; ///< increase of the cost by one more request
+    double load = 0; ///< requests ahead per slot
+    double room = 0; ///< number of further requests that would meet the goal
+    double freeSlots = 0; ///< slots that are neither used nor waited for
+    bool meetsGoal = false; ///< the answer is expected within the goal
+    bool acceptsLate = false; ///< a request that misses its goal may be sent there
 };
 
 /**
- * Predicts what replicas can do for one request, from what is known of them at
- * one moment. Lives as long as one choice.
+ * Predicts how replicas would serve one request, from their state at one moment.
+ * Lives as long as one choice.
  */
 class ReplicaEstimator
 {
 public:
-    /** @p shortestGoal: of the calls for the service; it bounds the room for all. */
+    /** @p shortestGoal: shortest common goal of the service's calls; it bounds the room. */
     ReplicaEstimator(const ReplicaQuery &query, Milliseconds shortestGoal, Instant now)
         : mQuery(query)
         , mShortestGoal(shortestGoal)
@@ -76,19 +77,19 @@
     {
     }
 
-    /** The fastest usable replica, to compare the others with; zero: unknown. */
+    /** Sets the fastest usable replica's answer time, for comparison; zero: unknown. */
     void setMinAnswerMs(double milliseconds) { mMinAnswerMs = milliseconds; }
 
-    /** Whether @p replica may take the request at all, whatever its load. */
+    /** Whether @p replica may take the request at all, independent of its load. */
     bool isUsable(const Replica &replica) const;
-    /** Whether the request would surely begin before the replica's weights are over. */
+    /** Whether the request would certainly start before the replica's weights expire. */
     bool startsBeforeExpiry(const Replica &replica) const;
-    /** Its agent speaks several times a second: the box may stand still. */
+    /** Whether reports of the replica's agent are overdue, so that its box may hang. */
     bool isSilent(const Replica &replica) const;
-    ReplicaEstimate offer(const Replica &replica) const;
+    ReplicaEstimate estimate(const Replica &replica) const;
 
 private:
-    static void applyRateLimit(ReplicaEstimate &offer);
+    static void applyRateLimit(ReplicaEstimate &estimate);
     bool isSlow(const Replica &replica) const;
     bool isAtConcurrencyLimit(const Replica &replica) const;
     bool hasJustBeenProbed(const Replica &replica) const;
--- a/src/libloomjunction/core/replicaset.cpp
+++ b/src/libloomjunction/core/replicaset.cpp
@@ -19,36 +19,35 @@
 
 namespace {
 
-// After a refusal, and after a failure in a row, doubled with each up to the most.
+// Backoff after a refusal, and after consecutive failures, where it doubles up to a maximum.
 constexpr Milliseconds sRefusalBackoff{100};
 constexpr Milliseconds sMinFailureBackoff{250};
 constexpr Milliseconds sMaxFailureBackoff{4'000};
-// A replica whose record lapsed while the store was away may come back within
-// two seconds of the store's return. One that leaves for good must get nothing
-// after its draining time, whatever the store did before: this much earlier
-// its use ends.
+// A replica whose record expired during an outage of the store may return within two seconds
+// of the store's return. But a replica that leaves for good must get no requests after its
+// drain time, even if the store failed before. So its use ends this much earlier.
 constexpr Milliseconds sDrainMargin{500};
 constexpr double sSmoothingWeight = 0.15;
-// Replicas looked at for one request: enough to level their loads, and so few
-// that a choice costs the same among thousands.
+// Replicas examined for one request: enough to balance their loads, and few enough that a
+// choice among thousands costs the same.
 constexpr std::size_t sMaxExamined = 16;
-// From the look at an engine until its report is read here, and a request's way
-// there: what was sent in this time before a report is not counted in it.
+// Time from the sampling of an engine to the arrival of its report here, plus the transit
+// time of a request. A report does not include requests that were sent this long before it.
 constexpr Milliseconds sReportLag{15};
-// Reports are taken to come at least this often, before any gap was seen.
+// Assumed interval of reports before one was measured.
 constexpr double sDefaultReportIntervalMs = 100;
-// The least that is spread, so that the best replica gets nearly all.
+// Minimum number of calls to distribute; at this number the best replica gets nearly all.
 constexpr double sMinExpectedCalls = 0.01;
-// Of the calls that could be in time, refused of late: more is no bad luck of the few
-// replicas that one call looks at.
+// Recent ratio of refusals among the calls that could meet their goals. A higher ratio is not
+// explained by chance, that is by calls that happened to examine only full replicas.
 constexpr double sOverloadRefusalRatio = 0.05;
-// Parts the draws of the choice from those of the sample; any number does.
+// Separates the random numbers of the choice from those of the sample; any value works.
 constexpr std::uint64_t sSelectionSeedMask = 0x9e3779b97f4a7c15ULL;
 
 } // namespace
 
-// A replica that starts again keeps its address and takes a new id. The record
-// of its earlier life stays in the store until it has been silent for a while.
+// A restarted replica keeps its address and has a new id. The record of the earlier
+// incarnation stays in the store until it expires.
 void ReplicaSet::retireEarlierIncarnations(const ReplicaRecord &record, Instant now)
 {
     for (auto &[id, other] : mReplicas) {
@@ -77,21 +76,21 @@
 {
     const auto [it, isNew] = mReplicas.try_emplace(record.id);
     Replica &replica = it->second;
-    // What was known of an earlier life holds no more: its weights, its load, that it
-    // was leaving. Kept, a replica that drained and came back would stand empty for good.
-    const bool isOther = record.isOtherIncarnation(replica.record);
-    if (isOther) {
+    // The weights, load and leaving state of an earlier incarnation are void. If they were
+    // kept, a replica that drained and came back would never be used again.
+    const bool isRestarted = record.isOtherIncarnation(replica.record);
+    if (isRestarted) {
         keepNotices(replica, now);
         replica = Replica();
     }
-    if (isNew || isOther) {
+    if (isNew || isRestarted) {
         replica.notices = mRetained.take(record.id, record.born);
     }
     const bool wasDraining = replica.record.isDraining;
-    // Within one life versions only rise: one that is new in the record is newer
-    // than the agent's last word, too.
-    const bool hasNewer = record.weightsVersion > replica.record.weightsVersion;
-    if (hasNewer && replica.load) {
+    // Versions only rise within an incarnation, so a version that is new in the record is also
+    // newer than the agent's last report.
+    const bool hasNewerWeights = record.weightsVersion > replica.record.weightsVersion;
+    if (hasNewerWeights && replica.load) {
         replica.load->weightsVersion
             = std::max(replica.load->weightsVersion, record.weightsVersion);
     }
@@ -114,8 +113,8 @@
     }
     const Milliseconds grace = std::max(Milliseconds(0), mDrainTime - sDrainMargin);
     const Instant end = trusted ? now : std::max(now, now - age + grace);
-    // Of several removals the strictest counts: a certain one ends the time that a
-    // doubtful one before it gave.
+    // The strictest of several removals counts: a trusted one ends the grace period of an
+    // earlier untrusted one.
     Instant &removedAt = it->second.removedAt;
     removedAt = removedAt == Instant() ? end : std::min(removedAt, end);
 }
@@ -128,15 +127,15 @@
                 forgiveReloadFailures(replica, now);
             }
             if (replica.load) {
-                const double gap
+                const double intervalMs
                     = std::chrono::duration<double, std::milli>(now - replica.loadAt).count();
                 replica.reportIntervalMs += (replica.reportIntervalMs == 0 ? 1.0 : sSmoothingWeight)
-                    * (gap - replica.reportIntervalMs);
+                    * (intervalMs - replica.reportIntervalMs);
             }
             replica.load = load;
             replica.loadAt = now;
-            std::erase_if(replica.recentStarts, [&](Instant began) {
-                return load.includesInTransit || began < now - sReportLag;
+            std::erase_if(replica.recentStarts, [&](Instant startedAt) {
+                return load.includesInTransit || startedAt < now - sReportLag;
             });
             replica.startedSinceReport = static_cast<std::uint32_t>(replica.recentStarts.size());
             replica.endedSinceReport = 0;
@@ -144,8 +143,8 @@
     }
 }
 
-// Streams that a load of weights cuts say nothing of the replica, and there may be as many
-// as it has slots, each of which counts as a failure and doubles the time it is avoided.
+// Streams that a load of weights interrupts do not indicate a faulty replica. There may be as
+// many as it has slots, and each of them counts as a failure and doubles the backoff.
 void ReplicaSet::forgiveReloadFailures(Replica &replica, Instant now)
 {
     replica.failures = 0;
@@ -170,61 +169,62 @@
 {
     double fastest = 0;
     for (const auto &[id, replica] : mReplicas) {
-        const bool counts = replica.answerMs > 0 && estimator.isUsable(replica);
-        if (counts && (fastest == 0 || replica.answerMs < fastest)) {
+        const bool isComparable = replica.answerMs > 0 && estimator.isUsable(replica);
+        if (isComparable && (fastest == 0 || replica.answerMs < fastest)) {
             fastest = replica.answerMs;
         }
     }
     return fastest;
 }
 
-// Whether it belongs to the service and takes requests, now or after a rest.
+// Whether the replica belongs to the service and accepts requests now or after a rest.
 bool ReplicaSet::isCandidate(const Replica &replica, const ReplicaQuery &query, Instant now)
 {
-    const UnavailableReason held = replica.unavailableReason(now);
-    const bool acceptsLate
-        = held == UnavailableReason::Nothing || held == UnavailableReason::Resting;
-    return replica.record.service == query.service && acceptsLate;
+    const UnavailableReason reason = replica.unavailableReason(now);
+    const bool acceptsRequests
+        = reason == UnavailableReason::Nothing || reason == UnavailableReason::Resting;
+    return replica.record.service == query.service && acceptsRequests;
 }
 
 std::vector<const Replica *> ReplicaSet::candidatesFor(const ReplicaQuery &query, Instant now) const
 {
-    std::vector<const Replica *> left;
+    std::vector<const Replica *> candidates;
     for (const auto &[id, replica] : mReplicas) {
         if (isCandidate(replica, query, now)) {
-            left.push_back(&replica);
+            candidates.push_back(&replica);
         }
     }
-    return left;
+    return candidates;
 }
 
 std::vector<const Replica *> ReplicaSet::subset(const ReplicaQuery &query, Instant now) const
 {
-    return ProbePlan(mEntry, query, now).subset(candidatesFor(query, now));
+    return ProbePlan(mGatewayKey, query, now).subset(candidatesFor(query, now));
 }
 
 std::vector<const Replica *> ReplicaSet::replicasToProbe(const ReplicaQuery &query,
                                                          ProbeRound round,
-                                                         std::span<const std::string> asked,
+                                                         std::span<const std::string> probed,
                                                          Instant now) const
 {
-    std::vector<const Replica *> left = candidatesFor(query, now);
-    std::erase_if(left, [&](const Replica *replica) { return replica->availableAt(now) > now; });
-    return ProbePlan(mEntry, query, now).choose(round, left, asked);
+    std::vector<const Replica *> candidates = candidatesFor(query, now);
+    std::erase_if(candidates,
+                  [&](const Replica *replica) { return replica->availableAt(now) > now; });
+    return ProbePlan(mGatewayKey, query, now).choose(round, candidates, probed);
 }
 
 std::vector<const Replica *> ReplicaSet::usableFor(const ReplicaQuery &query,
                                                    const ReplicaEstimator &estimator) const
 {
     const bool isBound = query.engine != nullptr && query.weights != nullptr;
-    const auto isAnswered = [&](const Replica &replica) {
+    const auto hasAnswered = [&](const Replica &replica) {
         return query.answered.empty()
             || std::ranges::find(query.answered, replica.record.id) != query.answered.end();
     };
     std::vector<const Replica *> usable;
     std::vector<const Replica *> silent;
     for (const auto &[id, replica] : mReplicas) {
-        if (!isAnswered(replica) || !estimator.isUsable(replica)) {
+        if (!hasAnswered(replica) || !estimator.isUsable(replica)) {
             continue;
         }
         if (isBound && !estimator.startsBeforeExpiry(replica)) {
@@ -235,8 +235,8 @@
     return usable.empty() ? silent : usable;
 }
 
-// For how long nobody knows what others send to a replica: until its next report,
-// or, where it was asked, since its answer.
+// Time in which requests of other gateways to the replica are unknown here: until its next
+// report, or since its answer if it was probed.
 double ReplicaSet::unreportedMs(const Replica &replica, const ReplicaQuery &query, Instant now)
 {
     const auto lag = static_cast<double>(sReportLag.count());
@@ -251,69 +251,72 @@
                                       const ReplicaQuery &query, const ReplicaEstimator &estimator,
                                       Instant now)
 {
-    const std::size_t most = query.engine == nullptr ? usable.size() : sMaxExamined;
+    const std::size_t maxExamined = query.engine == nullptr ? usable.size() : sMaxExamined;
     Survey survey;
     for (const Replica *replica : usable) {
-        if (survey.looked >= most && !survey.prompt.empty()) {
+        if (survey.examined >= maxExamined && !survey.meetingGoal.empty()) {
             break;
         }
-        ++survey.looked;
-        const ReplicaEstimate offer = estimator.offer(*replica);
+        ++survey.examined;
+        const ReplicaEstimate estimate = estimator.estimate(*replica);
         survey.horizonMs += unreportedMs(*replica, query, now);
-        survey.room += offer.room;
-        survey.freeSlots += offer.freeSlots;
-        survey.minLoad = survey.looked == 1 ? offer.load : std::min(survey.minLoad, offer.load);
-        if (offer.meetsGoal) {
-            survey.prompt.push_back({replica, offer});
+        survey.room += estimate.room;
+        survey.freeSlots += estimate.freeSlots;
+        survey.minLoad
+            = survey.examined == 1 ? estimate.load : std::min(survey.minLoad, estimate.load);
+        if (estimate.meetsGoal) {
+            survey.meetingGoal.push_back({replica, estimate});
         }
-        if (offer.acceptsLate) {
-            survey.open.push_back({replica, offer});
+        if (estimate.acceptsLate) {
+            survey.acceptingLate.push_back({replica, estimate});
         }
     }
     return survey;
 }
 
-// Calls at all gateways until the next reports, for the part that was looked at.
+// Expected calls at all gateways until the next reports, scaled to the examined replicas.
 double ReplicaSet::expectedCalls(const ReplicaQuery &query, const Survey &survey,
-                                 std::size_t usable, Instant now) const
+                                 std::size_t usableCount, Instant now) const
 {
     const auto calls = mCalls.find(query.service);
-    if (query.engine == nullptr || calls == mCalls.end() || usable == 0) {
+    if (query.engine == nullptr || calls == mCalls.end() || usableCount == 0) {
         return sMinExpectedCalls;
     }
     const double perMs = calls->second.perMs(now) * std::max(query.gatewayCount, 1U);
-    return std::max(sMinExpectedCalls, perMs * survey.horizonMs / static_cast<double>(usable));
+    return std::max(sMinExpectedCalls, perMs * survey.horizonMs / static_cast<double>(usableCount));
 }
 
-// All gateways know the same loads, each a little old. If everyone took the
-// best replica, one that has a place free would get all requests until its next
-// report. So the requests that are expected until then are spread as would
-// level the loads, and each goes to one replica by chance, in that proportion.
+// All gateways know the same slightly outdated loads. If each of them took the best replica,
+// a replica with one free slot would get all requests until its next report. So the requests
+// that are expected until then are distributed by water-filling, and each request goes to
+// one replica at random, weighted by these shares.
 const ReplicaSet::Candidate &ReplicaSet::pickWeighted(std::span<const Candidate> candidates,
                                                       double requests, double random)
 {
-    std::vector<WaterFillTarget> places;
-    places.reserve(candidates.size());
+    std::vector<WaterFillTarget> targets;
+    targets.reserve(candidates.size());
     for (const Candidate &candidate : candidates) {
-        places.push_back({candidate.offer.cost, std::max(candidate.offer.step, 1.0)});
+        targets.push_back(
+            {candidate.estimate.cost, std::max(candidate.estimate.costPerRequest, 1.0)});
     }
-    const std::vector<double> shares = waterFillShares(places, requests);
-    double left = requests * random;
+    const std::vector<double> shares = waterFillShares(targets, requests);
+    double remaining = requests * random;
     const Candidate *last = &candidates.front();
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         if (shares[index] <= 0) {
             continue;
         }
         last = &candidates[index];
-        left -= shares[index];
-        if (left < 0) {
+        remaining -= shares[index];
+        if (remaining < 0) {
             break;
         }
     }
     return *last;
 }
 
-// Whether so many found no room of late that whoever can still be in time wants each place.
+// Whether so many calls were refused recently that each free slot is needed by a call that
+// can still meet its goal.
 bool ReplicaSet::isServiceOverloaded(std::string_view service, Instant now) const
 {
     const auto it = mRefusals.find(service);
@@ -323,9 +326,9 @@
 bool ReplicaSet::canMeetGoal(const ReplicaQuery &query)
 {
     const EngineModel model(*query.engine);
-    const double left
+    const double timeLeft
         = static_cast<double>((query.goal - query.waited).count()) * sPlannableGoalFraction;
-    return model.firstEventMs({}, query.promptTokens) <= left;
+    return model.firstEventMs({}, query.promptTokens) <= timeLeft;
 }
 
 void ReplicaSet::noteChoice(const ReplicaQuery &query, const ReplicaChoice &choice, Instant now)
@@ -341,9 +344,9 @@
 ReplicaChoice ReplicaSet::choose(const ReplicaQuery &query, Instant now) const
 {
     const auto calls = mCalls.find(query.service);
-    const Milliseconds shortest
+    const Milliseconds shortestGoal
         = calls == mCalls.end() ? Milliseconds::max() : calls->second.shortestGoal();
-    ReplicaEstimator estimator(query, shortest, now);
+    ReplicaEstimator estimator(query, shortestGoal, now);
     estimator.setMinAnswerMs(minAnswerMs(estimator));
     std::vector<const Replica *> usable = usableFor(query, estimator);
     const auto opening = usable.empty() ? nextAvailability(query, now) : std::nullopt;
@@ -355,27 +358,28 @@
     }
     ChoiceRandom(query.random).shuffle(usable);
     const Survey survey = ReplicaSet::survey(usable, query, estimator, now);
-    const std::size_t sharing
+    const std::size_t sharingCount
         = query.answered.empty() ? usable.size() : candidatesFor(query, now).size();
-    const double expected = expectedCalls(query, survey, sharing, now);
+    const double expected = expectedCalls(query, survey, sharingCount, now);
     ChoiceRandom draws(query.random ^ sSelectionSeedMask);
     const double chance = draws.nextFraction();
     const bool isShared = query.engine == nullptr || chance * expected < survey.room;
-    const bool meetsGoal = !survey.prompt.empty() && isShared;
+    const bool meetsGoal = !survey.meetingGoal.empty() && isShared;
     const bool isOverloaded = query.engine != nullptr && isServiceOverloaded(query.service, now);
     const bool mayBeLate = query.isResumed || survey.freeSlots > expected;
-    const bool isPatient = !meetsGoal && mayBeLate && !survey.open.empty();
+    const bool isPatient = !meetsGoal && mayBeLate && !survey.acceptingLate.empty();
     if (!meetsGoal && !isPatient) {
         return AllBusy{RetryAdvice(query).whenBusy(survey.minLoad, isOverloaded), survey.minLoad};
     }
-    const std::vector<Candidate> &candidates = meetsGoal ? survey.prompt : survey.open;
+    const std::vector<Candidate> &candidates
+        = meetsGoal ? survey.meetingGoal : survey.acceptingLate;
     const Candidate &chosen = pickWeighted(candidates, expected, draws.nextFraction());
     const auto age = chosen.replica->load
         ? std::chrono::duration_cast<Milliseconds>(now - chosen.replica->loadAt)
         : Milliseconds(-1);
-    // Nobody overtakes a resumed stream, however late it is.
+    // A resumed stream is never patient: even if it is late, other requests must not overtake it.
     return ChosenReplica{chosen.replica->record.id, isPatient && !query.isResumed,
-                         chosen.offer.load, age, chosen.offer.answer};
+                         chosen.estimate.load, age, chosen.estimate.answer};
 }
 
 std::uint32_t ReplicaSet::serviceReplicaCount(std::string_view service) const
@@ -412,7 +416,7 @@
     }
 }
 
-void ReplicaSet::answerBegan(std::string_view id, bool isPatient, Microseconds took)
+void ReplicaSet::answerBegan(std::string_view id, bool isPatient, Microseconds elapsed)
 {
     const auto it = mReplicas.find(id);
     if (it == mReplicas.end()) {
@@ -420,9 +424,9 @@
     }
     stopAwaitingFirstByte(it->second, isPatient);
     if (isPatient) {
-        return; // its time says nothing of the replica
+        return; // the time of a patient request does not reflect the replica's speed
     }
-    const double ms = std::chrono::duration<double, std::milli>(took).count();
+    const double ms = std::chrono::duration<double, std::milli>(elapsed).count();
     double &mean = it->second.answerMs;
     mean += (mean == 0 ? 1.0 : sSmoothingWeight) * (ms - mean);
 }
@@ -449,8 +453,9 @@
     if (outcome == ReplicaOutcome::Abandoned) {
         return;
     }
-    const bool failed = outcome != ReplicaOutcome::Answered && outcome != ReplicaOutcome::Refused;
-    replica.failureRate += sSmoothingWeight * ((failed ? 1.0 : 0.0) - replica.failureRate);
+    const bool hasFailed
+        = outcome != ReplicaOutcome::Answered && outcome != ReplicaOutcome::Refused;
+    replica.failureRate += sSmoothingWeight * ((hasFailed ? 1.0 : 0.0) - replica.failureRate);
     if (outcome == ReplicaOutcome::Answered) {
         replica.failures = 0;
         replica.concurrencyLimit.noteAnswer();
@@ -464,10 +469,10 @@
         return;
     }
     ++replica.failures;
-    const auto doubled
+    const auto backoff
         = sMinFailureBackoff * (1LL << std::min<std::uint32_t>(replica.failures - 1, 10));
     replica.avoidedUntil
-        = std::max(replica.avoidedUntil, now + std::min<Milliseconds>(doubled, sMaxFailureBackoff));
+        = std::max(replica.avoidedUntil, now + std::min<Milliseconds>(backoff, sMaxFailureBackoff));
 }
 
 LimitChange ReplicaSet::noteNamedLimit(std::string_view id, double perSecond, Instant now)
@@ -483,7 +488,7 @@
         return LimitChange::Nothing;
     }
     const LimitChange change = it->second.limit.hear(told.perSecond, told.heardAt);
-    // Also where the wait is over sooner, as when the limit rose.
+    // A shorter wait replaces a longer one too, as after the limit was raised.
     if (told.perSecond) {
         it->second.rateLimitedUntil = now + told.wait;
     }
@@ -498,15 +503,15 @@
     }
 }
 
-// The first of those that are only held up by what they said themselves.
+// Earliest end of a rest or a rate limit, among replicas that no other backoff blocks.
 std::optional<Instant> ReplicaSet::nextAvailability(const ReplicaQuery &query, Instant now) const
 {
     std::optional<Instant> next;
     for (const Replica *replica : candidatesFor(query, now)) {
-        const Instant opens = replica->availableAt(now);
-        const bool isRateLimited = opens > now && replica->avoidedUntil <= opens;
-        if (isRateLimited && (!next || opens < *next)) {
-            next = opens;
+        const Instant available = replica->availableAt(now);
+        const bool isPaused = available > now && replica->avoidedUntil <= available;
+        if (isPaused && (!next || available < *next)) {
+            next = available;
         }
     }
     return next;
@@ -515,10 +520,10 @@
 std::optional<Milliseconds> ReplicaSet::retryDelayIfPaused(const ReplicaQuery &query,
                                                            Instant now) const
 {
-    const std::vector<const Replica *> left = candidatesFor(query, now);
-    const bool isOneOpen = std::ranges::any_of(
-        left, [&](const Replica *replica) { return replica->availableAt(now) <= now; });
-    const auto opening = isOneOpen ? std::nullopt : nextAvailability(query, now);
+    const std::vector<const Replica *> candidates = candidatesFor(query, now);
+    const bool isAnyAvailable = std::ranges::any_of(
+        candidates, [&](const Replica *replica) { return replica->availableAt(now) <= now; });
+    const auto opening = isAnyAvailable ? std::nullopt : nextAvailability(query, now);
     if (!opening) {
         return std::nullopt;
     }
@@ -527,16 +532,17 @@
 
 std::string ReplicaSet::pausedByNotices(std::string_view service, Instant now) const
 {
-    std::string all;
+    std::string text;
     for (const auto &[id, replica] : mReplicas) {
-        const UnavailableReason held = replica.unavailableReason(now);
-        const bool isByNotice
-            = held == UnavailableReason::Leaving || held == UnavailableReason::Resting;
-        if (replica.record.service == service && isByNotice) {
-            all += (all.empty() ? "" : ", ") + id + " " + std::string(unavailableReasonName(held));
+        const UnavailableReason reason = replica.unavailableReason(now);
+        const bool isFromNotice
+            = reason == UnavailableReason::Leaving || reason == UnavailableReason::Resting;
+        if (replica.record.service == service && isFromNotice) {
+            text += (text.empty() ? "" : ", ") + id + " "
+                + std::string(unavailableReasonName(reason));
         }
     }
-    return all;
+    return text;
 }
 
 LimitChange ReplicaSet::noteNoLimit(std::string_view id, Instant sentAt, Instant now)
@@ -554,10 +560,10 @@
         if (notice.rest) {
             replica.concurrencyLimit.lower(replica.heldRequests() - 1, replica.record.slots, now);
         }
-        return replica.notices.hear(notice, now);
+        return replica.notices.apply(notice, now);
     }
     NoticeState kept = mRetained.take(id, born);
-    const NoticeChange change = kept.hear(notice, now);
+    const NoticeChange change = kept.apply(notice, now);
     mRetained.keep(id, born, kept, now);
     return change;
 }
@@ -577,12 +583,12 @@
 {
     std::erase_if(mReplicas, [&](const auto &item) {
         const Replica &replica = item.second;
-        const bool isOver
+        const bool isUnused
             = replica.removedAt != Instant() && replica.removedAt <= now && replica.inFlight == 0;
-        if (isOver) {
+        if (isUnused) {
             keepNotices(replica, now);
         }
-        return isOver;
+        return isUnused;
     });
     mRetained.sweep(now);
 }
--- a/src/libloomjunction/core/replicaset.h
+++ b/src/libloomjunction/core/replicaset.h
@@ -27,99 +27,107 @@
 
 namespace Loom {
 
-/** No replica of the service can take a request now, whatever its load. */
+/** No replica of the service can take a request now, independent of load. */
 struct NoneUsable
 {
-    std::uint32_t known = 0;
-    Milliseconds comeBack{0};
+    std::uint32_t known = 0; ///< replicas of the service in the set
+    Milliseconds comeBack{0}; ///< retry delay for the caller
 };
-/** All are too busy to answer within the goal. */
+/** All usable replicas are too busy to answer within the goal, or all are paused. */
 struct AllBusy
 {
-    Milliseconds comeBack{0};
-    double minLoad = 0; ///< requests for each slot at the least busy one
-    bool areAllPaused = false; ///< all wait for the end of a rest or for their limits
+    Milliseconds comeBack{0}; ///< retry delay for the caller
+    double minLoad = 0; ///< requests per slot at the least busy replica
+    bool areAllPaused = false; ///< all replicas rest or are rate limited
 };
+/** The replica that a request is to be sent to. */
 struct ChosenReplica
 {
     std::string id;
-    bool isPatient = false; ///< it will be answered after the goal
-    double load = 0; ///< requests there, for each slot, as believed
-    Milliseconds loadAge{-1}; ///< of the agent's report; below zero: none
-    double answerMs = 0; ///< expected time to an answer or a first event
+    bool isPatient = false; ///< the answer will miss the goal, so the request yields to others
+    double load = 0; ///< estimated requests per slot at the replica
+    Milliseconds loadAge{-1}; ///< age of the agent's report; below zero: there is none
+    double answerMs = 0; ///< expected time to the answer or its first event
 };
 using ReplicaChoice = std::variant<ChosenReplica, AllBusy, NoneUsable>;
 
 /**
- * The replicas that an entry sends requests to without an agent in between,
- * and the choice among them. Owned by the replica service.
+ * The replicas that a gateway sends requests to directly, and the choice among
+ * them. Owned by the replica service.
  */
 class ReplicaSet
 {
 public:
     /**
-     * @p drainTime: a replica that leaves gets nothing after it. @p entry: the
-     * key of the gateway that chooses, see ProbePlan.
+     * @p drainTime: how long a leaving replica may still get requests. @p gatewayKey: key of
+     * the choosing gateway, see ProbePlan.
      */
-    explicit ReplicaSet(Milliseconds drainTime, std::string entry = {})
+    explicit ReplicaSet(Milliseconds drainTime, std::string gatewayKey = {})
         : mDrainTime(drainTime)
-        , mEntry(std::move(entry))
+        , mGatewayKey(std::move(gatewayKey))
     {
     }
 
     void setDrainTime(Milliseconds drainTime) { mDrainTime = drainTime; }
 
-    /** A record of the store, new or changed. Draining is final for one life. */
+    /** Adds or updates a replica from its record. Draining is final for an incarnation. */
     void put(const ReplicaRecord &record, Instant now);
     /**
-     * The record was taken away, @p age ago; @p trusted: by a store that was well
-     * all the while. Otherwise the replica is used on for some time from then.
+     * Removes a replica whose record was removed @p age ago. @p trusted: the store was
+     * healthy throughout. Otherwise the replica stays usable for a grace period, counted
+     * from the removal.
      */
     void remove(std::string_view id, bool trusted, Microseconds age, Instant now);
-    /** Its record says nothing that can be read: it gets nothing until the next one. */
+    /** Disables the replica until its next record, because the current one is unreadable. */
     void unreadable(std::string_view id, Instant now);
-    /** Another replica answered at the address of @p id, so its life is over. */
+    /** Disables the replica @p id, because another replica answered at its address. */
     void replaced(std::string_view id, Instant now);
-    /** An agent's report on the replica at @p address. */
+    /** Stores an agent's report on the replica at @p address. */
     void report(std::string_view address, const ReplicaLoad &load, Instant now);
-    /** The agent of @p address cannot be heard any more. */
+    /** Discards the load of the replica at @p address, because its agent is unreachable. */
     void reportLost(std::string_view address);
 
     ReplicaChoice choose(const ReplicaQuery &query, Instant now) const;
-    /** When to come back while all rest or are held up by limits; nothing: one is open. */
+    /**
+     * Retry delay for callers while all replicas rest or are rate limited; empty: at least
+     * one of them is not.
+     */
     std::optional<Milliseconds> retryDelayIfPaused(const ReplicaQuery &query, Instant now) const;
-    /** Replicas of @p service that told this gateway to send nothing, and how. */
+    /** Replicas of @p service that are leaving or resting, with the reason, as log text. */
     std::string pausedByNotices(std::string_view service, Instant now) const;
-    /** Replicas whose agents should be asked before a choice; @p asked: they were. */
+    /** Replicas whose agents should be probed before a choice, without those in @p probed. */
     std::vector<const Replica *> replicasToProbe(const ReplicaQuery &query, ProbeRound round,
-                                                 std::span<const std::string> asked,
+                                                 std::span<const std::string> probed,
                                                  Instant now) const;
-    /** Replicas of an engine's service that this gateway should keep links to. */
+    /** Replicas of an engine's service that this gateway should keep connections to. */
     std::vector<const Replica *> subset(const ReplicaQuery &query, Instant now) const;
 
-    /** A caller's request for @p service came. */
+    /** Counts a caller's request for @p service. */
     void noteCall(std::string_view service, Milliseconds goal, Instant now);
-    /** What choose() said of a caller's request in the end. */
+    /** Counts the final result of choose() for a caller's request. */
     void noteChoice(const ReplicaQuery &query, const ReplicaChoice &choice, Instant now);
+    /** A request was sent to the replica. */
     void began(std::string_view id, bool isPatient, Instant now);
-    /** The answer or its first event came, @p took after the request was sent. */
-    void answerBegan(std::string_view id, bool isPatient, Microseconds took);
+    /** The answer or its first event arrived @p elapsed after the request was sent. */
+    void answerBegan(std::string_view id, bool isPatient, Microseconds elapsed);
+    /** A request to the replica ended. */
     void ended(std::string_view id, ReplicaOutcome outcome, Instant now);
-    /** The request ends without an answer; ended() follows. */
+    /** The request will get no answer; a call of ended() follows. */
     void answerMissed(std::string_view id, bool isPatient);
 
-    /** An answer of the replica, which came at @p now, named @p perSecond. */
+    /** An answer of the replica that arrived at @p now stated the limit @p perSecond. */
     LimitChange noteNamedLimit(std::string_view id, double perSecond, Instant now);
-    /** What another process told of a replica's limit. */
+    /** Applies a replica's limit that another process reported. */
     LimitChange applyLimit(const ReportedLimit &told, Instant now);
-    /** Nothing may be sent to the replica under its limit before @p until. */
+    /** Sets when the replica's limit permits the next request. */
     void setRateLimitedUntil(std::string_view id, Instant until);
-    /** An answer to a request that was sent at @p sentAt named no limit. */
+    /** An answer to a request that was sent at @p sentAt stated no limit. */
     LimitChange noteNoLimit(std::string_view id, Instant sentAt, Instant now);
 
     /**
-     * An answer of the life of the replica @p id that began at @p born (zero: the one
-     * that is known) came @p now. The life need not be in the set.
+     * Applies a notice from an answer that arrived at @p now. It came from the incarnation
+     * of replica @p id that started at @p born (zero: the known one), which need not be in
+     * the set.
      */
     NoticeChange applyNotice(std::string_view id, std::uint64_t born, const ReplicaNotice &notice,
                              Instant now);
@@ -127,25 +135,25 @@
     const Replica *find(std::string_view id) const;
     const std::map<std::string, Replica, std::less<>> &all() const { return mReplicas; }
 
-    /** Takes replicas out for good that no request uses any more. */
+    /** Deletes removed replicas that have no request in flight. */
     void sweep(Instant now);
 
 private:
     struct Candidate
     {
         const Replica *replica = nullptr;
-        ReplicaEstimate offer;
+        ReplicaEstimate estimate;
     };
 
-    /** What the replicas that were looked at for one request offer together. */
+    /** Summary of the replicas that were examined for one request. */
     struct Survey
     {
-        std::vector<Candidate> prompt; ///< meet the goal
-        std::vector<Candidate> open; ///< take a request that misses it
-        std::size_t looked = 0;
-        double horizonMs = 0; ///< sum of the times that their loads are unknown for
-        double room = 0;
-        double freeSlots = 0;
+        std::vector<Candidate> meetingGoal; ///< replicas that meet the goal
+        std::vector<Candidate> acceptingLate; ///< replicas that accept a request past its goal
+        std::size_t examined = 0; ///< number of examined replicas
+        double horizonMs = 0; ///< sum of their unreportedMs()
+        double room = 0; ///< sum of their room
+        double freeSlots = 0; ///< sum of their free slots
         double minLoad = 0;
     };
 
@@ -163,7 +171,7 @@
     static double unreportedMs(const Replica &replica, const ReplicaQuery &query, Instant now);
     static Survey survey(std::span<const Replica *const> usable, const ReplicaQuery &query,
                          const ReplicaEstimator &estimator, Instant now);
-    double expectedCalls(const ReplicaQuery &query, const Survey &survey, std::size_t usable,
+    double expectedCalls(const ReplicaQuery &query, const Survey &survey, std::size_t usableCount,
                          Instant now) const;
     static const Candidate &pickWeighted(std::span<const Candidate> candidates, double requests,
                                          double random);
@@ -171,7 +179,7 @@
     bool isServiceOverloaded(std::string_view service, Instant now) const;
 
     Milliseconds mDrainTime;
-    std::string mEntry;
+    std::string mGatewayKey;
     std::map<std::string, CallRate, std::less<>> mCalls; ///< by service
     std::map<std::string, RefusalRatio, std::less<>> mRefusals; ///< by service
     std::map<std::string, Replica, std::less<>> mReplicas;
--- a/src/libloomjunction/core/retainednotices.cpp
+++ b/src/libloomjunction/core/retainednotices.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Far beyond the history of any store and the draining time of any replica.
+// Much longer than the history of any store and the drain time of any replica.
 constexpr std::chrono::minutes sRetentionTime{10};
 
 } // namespace
@@ -33,24 +33,25 @@
     if (it == mById.end()) {
         return {};
     }
-    std::vector<Kept> &lives = it->second;
-    const auto found = std::ranges::find_if(
-        lives, [&](const Kept &kept) { return kept.born == born || kept.born == 0 || born == 0; });
-    if (found == lives.end()) {
+    std::vector<Entry> &entries = it->second;
+    const auto found = std::ranges::find_if(entries, [&](const Entry &entry) {
+        return entry.born == born || entry.born == 0 || born == 0;
+    });
+    if (found == entries.end()) {
         return {};
     }
     const NoticeState notices = found->notices;
-    lives.erase(found);
+    entries.erase(found);
     return notices;
 }
 
 void RetainedNotices::sweep(Instant now)
 {
-    const auto isOver = [now](const Kept &kept) {
-        return kept.since + sRetentionTime <= now || !kept.notices.isActive(now);
+    const auto isExpired = [now](const Entry &entry) {
+        return entry.keptAt + sRetentionTime <= now || !entry.notices.isActive(now);
     };
-    for (auto &[id, lives] : mById) {
-        std::erase_if(lives, isOver);
+    for (auto &[id, entries] : mById) {
+        std::erase_if(entries, isExpired);
     }
     std::erase_if(mById, [](const auto &item) { return item.second.empty(); });
 }
--- a/src/libloomjunction/core/retainednotices.h
+++ b/src/libloomjunction/core/retainednotices.h
@@ -19,28 +19,31 @@
 namespace Loom {
 
 /**
- * Notices of lives that no record tells of at present. A record may come back by the same
- * id, from a store that forgot or from another process that is behind.
+ * Keeps the notices of replica incarnations that have no record at present. A record with
+ * the same id may reappear, from a store that lost data or from a process that lags behind.
  */
 class RetainedNotices
 {
 public:
-    /** Of the life of @p id that began at @p born; zero: untold, any life of that id. */
+    /**
+     * Keeps the notices of the incarnation of @p id that started at @p born. Zero: the start
+     * time is unknown, so that they count for any incarnation.
+     */
     void keep(std::string_view id, std::uint64_t born, const NoticeState &notices, Instant now);
-    /** Takes out what is kept of that life; without any, nothing was said. */
+    /** Removes and returns the notices of an incarnation; an empty state if there are none. */
     NoticeState take(std::string_view id, std::uint64_t born);
-    /** Forgets what was kept long ago. */
+    /** Deletes expired notices. */
     void sweep(Instant now);
 
 private:
-    struct Kept
+    struct Entry
     {
         std::uint64_t born = 0;
         NoticeState notices;
-        Instant since;
+        Instant keptAt;
     };
 
-    std::map<std::string, std::vector<Kept>, std::less<>> mById; ///< by id
+    std::map<std::string, std::vector<Entry>, std::less<>> mById; ///< by id
 };
 
 } // namespace Loom
--- a/src/libloomjunction/core/retryadvice.cpp
+++ b/src/libloomjunction/core/retryadvice.cpp
@@ -18,31 +18,31 @@
 constexpr Milliseconds sNoneUsableRetryDelay{400};
 constexpr Milliseconds sMinRetryDelay{150};
 constexpr Milliseconds sMaxRetryDelay{1'500};
-// A caller's way here and back on a new connection.
+// A caller's round trip on a new connection.
 constexpr double sRoundTripMs = 30;
-// Sooner, a caller that returns would find what it found before.
+// A caller that retries sooner would find the replicas as busy as before.
 constexpr double sMinReturnDelayMs = 40;
-// A refused request comes back when a few turns are over.
+// A refused request is retried after a few completion intervals.
 constexpr double sRetryIntervalFactor = 4;
-// Callers wait for a third of the time they have left at most, whatever they are told.
+// Callers wait at most a third of their remaining time, even if they are told to wait longer.
 constexpr double sMaxWaitFraction = 1.0 / 3;
-// The first of those that are told to come late, as a part of the longest wait. Spread
-// over the rest of it, those who were refused together do not return together.
+// Earliest late retry, as a fraction of the longest wait. Retries are spread over the rest
+// of it, so that callers that were refused together do not retry together.
 constexpr double sMinLateFraction = 0.5;
 
 } // namespace
 
-double RetryAdvice::random() const
+double RetryAdvice::randomFraction() const
 {
     return static_cast<double>(mQuery.random % 1024) / 1024;
 }
 
-// The goal is missed whenever it returns, and a late answer is worth the same at any
-// time: the later it comes, the likelier the rush or the gap is over.
-Milliseconds RetryAdvice::late() const
+// Such a caller misses its goal in any case, and a late answer has the same value at any
+// time. The later the retry, the more likely the overload or the outage is over.
+Milliseconds RetryAdvice::lateRetry() const
 {
     const double longest = static_cast<double>(mQuery.timeLeft.count()) * sMaxWaitFraction;
-    const double wait = longest * (sMinLateFraction + (1 - sMinLateFraction) * random());
+    const double wait = longest * (sMinLateFraction + (1 - sMinLateFraction) * randomFraction());
     return std::max(sMinRetryDelay, Milliseconds(static_cast<std::int64_t>(wait)));
 }
 
@@ -51,39 +51,41 @@
     if (mQuery.engine == nullptr || mQuery.timeLeft.count() <= 0) {
         return sNoneUsableRetryDelay;
     }
-    return late();
+    return lateRetry();
 }
 
-// Many wait for the first that takes requests again; they are spread behind it.
+// Many callers wait for the first replica that accepts requests again, so their retries are
+// spread over the time after that.
 Milliseconds RetryAdvice::afterPause(Microseconds wait) const
 {
-    const auto first = std::chrono::ceil<Milliseconds>(wait);
-    const auto spread = static_cast<std::int64_t>(static_cast<double>(first.count()) * random());
-    return std::clamp(first + Milliseconds(spread), sMinRetryDelay, sMaxRetryDelay);
+    const auto pauseEnd = std::chrono::ceil<Milliseconds>(wait);
+    const auto spread
+        = static_cast<std::int64_t>(static_cast<double>(pauseEnd.count()) * randomFraction());
+    return std::clamp(pauseEnd + Milliseconds(spread), sMinRetryDelay, sMaxRetryDelay);
 }
 
-// Who can still make it is told to come back within the goal, once: places turn up all
-// the time. Under a rush they are all taken, by callers who tried first.
+// A caller that can still meet its goal is told to retry once within it, since slots become
+// free all the time. Under overload, callers on their first attempt take all of them.
 Milliseconds RetryAdvice::whenBusy(double minLoad, bool isOverloaded) const
 {
     if (mQuery.engine == nullptr) {
         return sPlainRetryDelay;
     }
     if (isOverloaded && mQuery.timeLeft.count() > 0) {
-        return late();
+        return lateRetry();
     }
     const EngineModel model(*mQuery.engine);
-    const double left
+    const double timeForRetry
         = static_cast<double>((mQuery.goal - mQuery.waited).count()) * sPlannableGoalFraction
         - model.firstEventMs({}, mQuery.promptTokens) - sRoundTripMs;
-    if (left >= sMinReturnDelayMs) {
-        return Milliseconds(
-            static_cast<std::int64_t>(sMinReturnDelayMs + (left - sMinReturnDelayMs) * random()));
+    if (timeForRetry >= sMinReturnDelayMs) {
+        return Milliseconds(static_cast<std::int64_t>(
+            sMinReturnDelayMs + (timeForRetry - sMinReturnDelayMs) * randomFraction()));
     }
-    const double over = std::max(0.0, minLoad - 1) * mQuery.engine->slots;
-    const double wait = (over + 1) * model.completionIntervalMs() * sRetryIntervalFactor;
-    const Milliseconds after(static_cast<std::int64_t>(wait * (0.75 + 0.5 * random())));
-    return std::clamp(after, sMinRetryDelay, sMaxRetryDelay);
+    const double excessRequests = std::max(0.0, minLoad - 1) * mQuery.engine->slots;
+    const double wait = (excessRequests + 1) * model.completionIntervalMs() * sRetryIntervalFactor;
+    const Milliseconds delay(static_cast<std::int64_t>(wait * (0.75 + 0.5 * randomFraction())));
+    return std::clamp(delay, sMinRetryDelay, sMaxRetryDelay);
 }
 
 } // namespace Loom
--- a/src/libloomjunction/core/retryadvice.h
+++ b/src/libloomjunction/core/retryadvice.h
@@ -13,7 +13,7 @@
 
 namespace Loom {
 
-/** When a caller that finds no place is told to try again. Lives as long as one choice. */
+/** Computes the retry delay for a caller that got no replica. Lives as long as one choice. */
 class RetryAdvice
 {
 public:
@@ -23,18 +23,19 @@
     }
 
     /**
-     * All replicas are busy, the least busy one with @p minLoad requests a slot.
-     * @p isOverloaded: so are many others, and places will be wanted for a while.
+     * Delay when all replicas are busy, the least busy one with @p minLoad requests per
+     * slot. @p isOverloaded: many calls were refused recently, so that freed slots will be
+     * contested for a while.
      */
     Milliseconds whenBusy(double minLoad, bool isOverloaded) const;
-    /** All rest or are held up by the limits that they named; the first one for @p wait. */
+    /** Delay when all replicas rest or are rate limited, the first one for another @p wait. */
     Milliseconds afterPause(Microseconds wait) const;
-    /** No replica can be used at all, as while weights change. */
+    /** Delay when no replica is usable at all, as during a change of weights. */
     Milliseconds whenNoneUsable() const;
 
 private:
-    Milliseconds late() const;
-    double random() const;
+    Milliseconds lateRetry() const;
+    double randomFraction() const;
 
     const ReplicaQuery &mQuery;
 };
--- a/src/libloomjunction/core/waterfill.h
+++ b/src/libloomjunction/core/waterfill.h
@@ -13,18 +13,18 @@
 
 namespace Loom {
 
-/** A place where requests can go. Both in the same unit, e.g. milliseconds. */
+/** A target for requests. Both fields have the same unit, e.g. milliseconds. */
 struct WaterFillTarget
 {
-    double cost = 0; ///< of the next request there
-    double step = 1; ///< by which each request raises the cost; above zero
+    double cost = 0; ///< cost of the next request
+    double costPerRequest = 1; ///< increase of the cost by each request; above zero
 };
 
 /**
- * How many of the next @p requests each place should get so that those that
- * get any end at the same cost. The sum is @p requests; fractions are meant as
- * probabilities.
+ * Distributes @p requests over @p targets by water-filling: all targets that get any
+ * end at the same cost. The shares add up to @p requests; a fractional share is a
+ * probability.
  */
-std::vector<double> waterFillShares(std::span<const WaterFillTarget> places, double requests);
+std::vector<double> waterFillShares(std::span<const WaterFillTarget> targets, double requests);
 
 } // namespace Loom
