--- a/tests/direct/overloadlab.cpp
+++ b/tests/direct/overloadlab.cpp
@@ -19,12 +19,13 @@
 
 constexpr int sReportIntervalMs = 50;
 constexpr int sDeadlineMs = 6'000;
-constexpr int sFirstEventTimeoutMs = 2'400; // callers leave when no event comes for so long
-// Of the users' rules: what is judged of a rest, and of a leaving.
+constexpr int sFirstEventTimeoutMs = 2'400; // callers disconnect without an event for this long
+// Required by the users: no requests in a rest after this grace period, and none to a leaving
+// engine after this drain time.
 constexpr int sRestGraceMs = 500;
 constexpr int sDrainMs = 2'000;
 constexpr std::size_t sMaxAttempts = 2;
-constexpr Milliseconds sRefusedComeBack{200};
+constexpr Milliseconds sRefusedRetryDelay{200};
 const std::string sService = "scorer";
 
 } // namespace
@@ -72,33 +73,35 @@
     return mSeconds[static_cast<std::size_t>(request.firstAttemptAt / 1'000)];
 }
 
-std::vector<OverloadLab::Second> OverloadLab::play(const std::vector<Phase> &phases)
+std::vector<OverloadLab::Second> OverloadLab::run(const std::vector<Phase> &phases)
 {
     std::vector<double> rates;
     for (const Phase &phase : phases) {
         rates.insert(rates.end(), static_cast<std::size_t>(phase.seconds), phase.callsPerSecond);
     }
     mSeconds.assign(rates.size(), Second());
-    std::exponential_distribution<double> tail(1);
-    double due = 0;
+    std::exponential_distribution<double> sizeFactor(1);
+    double expected = 0;
     const int end = static_cast<int>(rates.size()) * 1'000;
     for (int time = 0; time < end + sDeadlineMs; ++time) {
-        due += time < end ? rates[static_cast<std::size_t>(time / 1'000)] / 1'000 : 0;
-        std::poisson_distribution<int> arrivals(std::exchange(due, 0));
+        expected += time < end ? rates[static_cast<std::size_t>(time / 1'000)] / 1'000 : 0;
+        std::poisson_distribution<int> arrivals(std::exchange(expected, 0));
         for (int count = time < end ? arrivals(mRandom) : 0; count > 0; --count) {
             auto request = std::make_shared<Request>();
             request->gateway = mRandom() % mGateways.size();
             request->firstAttemptAt = time;
-            request->prompt = mShape.figures.usualPrompt * std::min(3.0, 0.3 + 0.7 * tail(mRandom));
+            request->prompt
+                = mShape.figures.usualPrompt * std::min(3.0, 0.3 + 0.7 * sizeFactor(mRandom));
             const double events = mShape.figures.usualAnswer / mShape.figures.stepsPerPass;
-            request->eventsLeft = 1 + static_cast<int>((events - 1) * std::min(3.0, tail(mRandom)));
-            ++secondOf(*request).asked;
-            call(std::move(request), time);
+            request->eventsLeft
+                = 1 + static_cast<int>((events - 1) * std::min(3.0, sizeFactor(mRandom)));
+            ++secondOf(*request).calls;
+            sendOrRefuse(std::move(request), time);
         }
         while (!mRetries.empty() && mRetries.begin()->first <= time) {
             const RequestPtr request = mRetries.begin()->second;
             mRetries.erase(mRetries.begin());
-            call(request, time);
+            sendOrRefuse(request, time);
         }
         while (!mInTransit.empty() && mInTransit.begin()->first <= time) {
             const RequestPtr request = mInTransit.begin()->second;
@@ -113,7 +116,7 @@
         abandonWaiting(time);
         for (std::size_t engine = 0; engine < mEngines.size(); ++engine) {
             runEngine(mEngines[engine], time);
-            // Stagers look at different moments.
+            // Agents sample their engines at different times.
             const bool isDue
                 = time % sReportIntervalMs == static_cast<int>(engine * 7 % sReportIntervalMs);
             if (isDue && !mShape.probesAgents) {
@@ -124,7 +127,7 @@
     return mSeconds;
 }
 
-void OverloadLab::call(RequestPtr request, int time)
+void OverloadLab::sendOrRefuse(RequestPtr request, int time)
 {
     ReplicaSet &gateway = mGateways[request->gateway];
     gateway.noteCall(sService, mShape.goal, at(time));
@@ -148,16 +151,16 @@
         request->isPatient = chosen->isPatient;
         request->sentAt = time;
         gateway.began(chosen->id, chosen->isPatient, at(time));
-        mEngines[request->engine].claims.note(at(time));
+        mEngines[request->engine].inTransit.note(at(time));
         mInTransit.emplace(time + mShape.transitMs, std::move(request));
         return;
     }
     const auto *busy = std::get_if<AllBusy>(&choice);
-    comeBack(std::move(request), busy ? static_cast<int>(busy->comeBack.count()) : sDeadlineMs,
-             time);
+    scheduleRetry(std::move(request), busy ? static_cast<int>(busy->comeBack.count()) : sDeadlineMs,
+                  time);
 }
 
-void OverloadLab::comeBack(RequestPtr request, int wait, int time)
+void OverloadLab::scheduleRetry(RequestPtr request, int wait, int time)
 {
     if (request->isRetry) {
         ++secondOf(*request).refused;
@@ -166,10 +169,10 @@
     request->isRetry = true;
     request->refusedBy.clear();
     if (mShape.restMs > 0) {
-        request->gateway = mRandom() % mGateways.size(); // a rest is of one gateway
+        request->gateway = mRandom() % mGateways.size(); // a rest applies to one gateway
     }
-    const int third = (sDeadlineMs - (time - request->firstAttemptAt)) / 3;
-    mRetries.emplace(time + mShape.transitMs + std::min(wait, third), std::move(request));
+    const int maxWait = (sDeadlineMs - (time - request->firstAttemptAt)) / 3;
+    mRetries.emplace(time + mShape.transitMs + std::min(wait, maxWait), std::move(request));
 }
 
 bool OverloadLab::isLeaving(std::size_t engine, int time) const
@@ -181,8 +184,8 @@
 {
     checkNotices(*request, time);
     Engine &engine = mEngines[request->engine];
-    const std::size_t held = engine.waiting.size() + engine.inPass.size();
-    if (mShape.maxHeld == 0 || held < mShape.maxHeld) {
+    const std::size_t requests = engine.waiting.size() + engine.active.size();
+    if (mShape.maxHeld == 0 || requests < mShape.maxHeld) {
         engine.waiting.push_back(request);
         return;
     }
@@ -202,9 +205,9 @@
             mNotices.maxDuringRest = std::max(mNotices.maxDuringRest, ++rest.requests);
         }
     }
-    const auto told = engine.announcedLeavingAt.find(request.gateway);
-    const bool isTold = told != engine.announcedLeavingAt.end();
-    mNotices.sentAfterLeaving += isTold && time > told->second + sDrainMs ? 1 : 0;
+    const auto announced = engine.announcedLeavingAt.find(request.gateway);
+    const bool isInformed = announced != engine.announcedLeavingAt.end();
+    mNotices.sentAfterLeaving += isInformed && time > announced->second + sDrainMs ? 1 : 0;
 }
 
 void OverloadLab::announceLeaving(const Request &request, int time)
@@ -233,18 +236,18 @@
     }
     request->refusedBy.push_back(id);
     if (request->refusedBy.size() < sMaxAttempts) {
-        call(request, time);
+        sendOrRefuse(request, time);
         return;
     }
     ReplicaQuery query;
     query.service = sService;
     query.random = mRandom();
-    const auto held = gateway.retryDelayIfPaused(query, at(time)).value_or(sRefusedComeBack);
-    comeBack(request, static_cast<int>(held.count()), time);
+    const auto delay = gateway.retryDelayIfPaused(query, at(time)).value_or(sRefusedRetryDelay);
+    scheduleRetry(request, static_cast<int>(delay.count()), time);
 }
 
-// Answers of agents come back within the millisecond, and cover what has reached
-// the engine by then.
+// Agents answer probes within the same millisecond. Their answers include the requests that
+// have reached the engine by then.
 ReplicaChoice OverloadLab::choose(std::size_t gateway, const ReplicaQuery &query, int time)
 {
     ReplicaSet &replicas = mGateways[gateway];
@@ -292,9 +295,9 @@
 
 void OverloadLab::endPass(Engine &engine, int time)
 {
-    for (const RequestPtr &request : engine.inPass) {
-        if (!request->hasBegun) {
-            request->hasBegun = true;
+    for (const RequestPtr &request : engine.active) {
+        if (!request->hasStarted) {
+            request->hasStarted = true;
             const int took = time + mShape.transitMs - request->firstAttemptAt;
             const bool isInTime = took <= mShape.goal.count();
             ++(isInTime ? secondOf(*request).inTime : secondOf(*request).late);
@@ -308,7 +311,7 @@
                                               at(time));
         }
     }
-    std::erase_if(engine.inPass,
+    std::erase_if(engine.active,
                   [](const RequestPtr &request) { return request->eventsLeft <= 0; });
 }
 
@@ -318,15 +321,15 @@
                              [](const RequestPtr &request) { return request->isPatient ? 1 : 0; });
     const EngineModel model(mShape.figures);
     double length = 0;
-    while (!engine.waiting.empty() && engine.inPass.size() < mShape.figures.slots) {
+    while (!engine.waiting.empty() && engine.active.size() < mShape.figures.slots) {
         length += model.promptReadMs(engine.waiting.front()->prompt);
-        engine.inPass.push_back(engine.waiting.front());
+        engine.active.push_back(engine.waiting.front());
         engine.waiting.pop_front();
     }
-    if (engine.inPass.empty()) {
+    if (engine.active.empty()) {
         return;
     }
-    length += model.passMs(static_cast<double>(engine.inPass.size()));
+    length += model.passMs(static_cast<double>(engine.active.size()));
     engine.passEndsAt = time + std::max(1, static_cast<int>(length));
 }
 
@@ -334,8 +337,8 @@
 {
     ReplicaLoad load;
     load.weightsVersion = 1;
-    for (const RequestPtr &request : mEngines[engine].inPass) {
-        ++(request->hasBegun ? load.running : load.waiting);
+    for (const RequestPtr &request : mEngines[engine].active) {
+        ++(request->hasStarted ? load.running : load.waiting);
     }
     load.waiting += static_cast<std::uint32_t>(mEngines[engine].waiting.size());
     for (const RequestPtr &request : mEngines[engine].waiting) {
@@ -344,13 +347,13 @@
     return load;
 }
 
-// What the agent of the engine answers a gateway.
+// The answer of the engine's agent to a probe.
 ReplicaLoad OverloadLab::probeAnswer(std::size_t engine, int time)
 {
     ReplicaLoad load = engineLoadReport(engine);
     if (mShape.includesInTransit) {
         load.includesInTransit = true;
-        load.waiting += mEngines[engine].claims.notVisibleAt(at(time));
+        load.waiting += mEngines[engine].inTransit.notVisibleAt(at(time));
     }
     return load;
 }
--- a/tests/direct/overloadlab.h
+++ b/tests/direct/overloadlab.h
@@ -24,10 +24,9 @@
 namespace Loom {
 
 /**
- * Gateways, engines and callers in virtual time, a millisecond a step. Gateways
- * know the engines by reports that lag or by asking, and choose with the product's
- * own code.
- * Owned by one test.
+ * Simulates gateways, engines and callers in virtual time, in steps of a millisecond.
+ * Gateways know the engines' loads by delayed reports or by probing, and choose with
+ * the production code. Owned by one test.
  */
 class OverloadLab
 {
@@ -40,52 +39,53 @@
         Milliseconds goal{400};
         std::uint64_t seed = 1;
         std::size_t dataCentres = 1;
-        /** Gateways ask agents before each choice; otherwise reports come by themselves. */
+        /** Gateways probe agents before each choice; otherwise agents report periodically. */
         bool probesAgents = false;
-        bool includesInTransit = true; ///< and tell them at once what they send
-        int transitMs = 4; ///< from a choice until the request is at the engine
-        /** An engine with so many requests turns further ones away; zero: none does. */
+        bool includesInTransit = true; ///< agents count announced requests
+        int transitMs = 4; ///< time from a choice until the request reaches the engine
+        /** Number of requests at an engine that makes it refuse others; zero: no limit. */
         std::size_t maxHeld = 0;
-        int restMs = 0; ///< that it asks for with each such refusal
-        bool readsNotices = true; ///< gateways read what engines say of themselves
-        std::size_t leaving = 0; ///< engines that say from leaveAtMs on that they leave
+        int restMs = 0; ///< rest that an engine asks for with each such refusal
+        bool readsNotices = true; ///< gateways apply the notices in answers
+        std::size_t leaving = 0; ///< engines that announce from leaveAtMs on that they leave
         int leaveAtMs = 0;
     };
 
-    /** What engines that said something of themselves got afterwards, by gateway. */
+    /** Counts of notices, and of requests that ignored them. */
     struct Notices
     {
-        int rests = 0; ///< that were asked for
-        int maxDuringRest = 0; ///< requests from one gateway, half a second after it was asked
-        int rejections = 0;
-        int sentAfterLeaving = 0; ///< requests, once the drain time was over
-        int announcedLeaving = 0; ///< gateways that an engine told so, for each engine
+        int rests = 0; ///< rests that engines asked for
+        /** Most requests of one gateway in a rest, from half a second after its start. */
+        int maxDuringRest = 0;
+        int rejections = 0; ///< requests that engines refused
+        int sentAfterLeaving = 0; ///< requests after the drain time of a leaving engine
+        int announcedLeaving = 0; ///< pairs of a leaving engine and a gateway that it told
     };
 
-    /** Calls a second for some seconds. */
+    /** A constant call rate for some seconds. */
     struct Phase
     {
         int seconds = 0;
         double callsPerSecond = 0;
     };
 
-    /** What became of the calls of one second, by their first try. */
+    /** Outcomes of the calls whose first attempt was in one second. */
     struct Second
     {
-        int asked = 0;
+        int calls = 0;
         int inTime = 0;
         int late = 0;
-        int refused = 0; ///< for good
+        int refused = 0; ///< after all attempts
     };
 
     explicit OverloadLab(Shape shape);
 
-    /** Questions that agents were asked. */
+    /** Number of probes that gateways sent to agents. */
     std::uint64_t probes() const { return mProbes; }
     const Notices &notices() const { return mNotices; }
-    /** One entry a second. */
-    std::vector<Second> play(const std::vector<Phase> &phases);
-    /** Requests a second that the engines finish when all their slots are full. */
+    /** Runs the phases and returns one entry per second. */
+    std::vector<Second> run(const std::vector<Phase> &phases);
+    /** Requests per second that the engines complete when all slots are in use. */
     double capacity() const;
 
 private:
@@ -99,7 +99,7 @@
         int eventsLeft = 0;
         bool isPatient = false;
         bool isRetry = false;
-        bool hasBegun = false;
+        bool hasStarted = false;
         std::vector<std::string> refusedBy;
     };
     using RequestPtr = std::shared_ptr<Request>;
@@ -114,20 +114,20 @@
     struct Engine
     {
         std::deque<RequestPtr> waiting;
-        std::vector<RequestPtr> inPass; ///< hold a slot, the first event to come or come already
+        std::vector<RequestPtr> active; ///< requests that have a slot
         int passEndsAt = 0;
-        InTransitCount claims;
+        InTransitCount inTransit; ///< requests that gateways announced
         std::map<std::size_t, std::vector<Rest>> rests; ///< by gateway
         std::map<std::size_t, int> announcedLeavingAt; ///< by gateway
     };
 
-    void call(RequestPtr request, int time);
+    void sendOrRefuse(RequestPtr request, int time);
     void arrive(const RequestPtr &request, int time);
     void handleRefusal(const RequestPtr &request, int time);
     void checkNotices(const Request &request, int time);
     void announceLeaving(const Request &request, int time);
     bool isLeaving(std::size_t engine, int time) const;
-    void comeBack(RequestPtr request, int wait, int time);
+    void scheduleRetry(RequestPtr request, int wait, int time);
     void abandonWaiting(int time);
     void runEngine(Engine &engine, int time);
     void endPass(Engine &engine, int time);
@@ -143,9 +143,9 @@
     Shape mShape;
     std::vector<Engine> mEngines;
     std::vector<ReplicaSet> mGateways;
-    std::multimap<int, RequestPtr> mInTransit; ///< to an engine, by arrival
-    std::multimap<int, RequestPtr> mRefusals; ///< of engines, by arrival at the gateway
-    std::multimap<int, RequestPtr> mRetries; ///< by when the caller comes back
+    std::multimap<int, RequestPtr> mInTransit; ///< requests to engines, by arrival time
+    std::multimap<int, RequestPtr> mRefusals; ///< refused requests, by arrival at the gateway
+    std::multimap<int, RequestPtr> mRetries; ///< requests of waiting callers, by retry time
     std::vector<Second> mSeconds;
     std::mt19937_64 mRandom;
     std::uint64_t mProbes = 0;
--- a/tests/direct/test_callrate.cpp
+++ b/tests/direct/test_callrate.cpp
@@ -35,7 +35,7 @@
         rate.note(Milliseconds(call % 4 == 0 ? 300 : 400), at(call));
     }
     BOOST_TEST((rate.shortestGoal() == Milliseconds(300)));
-    // Goals of routes that nobody calls any more bound nobody.
+    // Goals of routes without recent calls are ignored.
     for (int call = 0; call < 400; ++call) {
         rate.note(Milliseconds(400), at(20'000 + call));
     }
--- a/tests/direct/test_intransitcount.cpp
+++ b/tests/direct/test_intransitcount.cpp
@@ -15,14 +15,14 @@
 
 BOOST_AUTO_TEST_CASE(request_counts_until_an_engine_report_can_include_it)
 {
-    InTransitCount claims;
-    BOOST_TEST(claims.notVisibleAt(at(0)) == 0U);
-    claims.note(at(100));
-    claims.note(at(103));
-    // The look was made before, or while they were on their way.
-    BOOST_TEST(claims.notVisibleAt(at(95)) == 2U);
-    BOOST_TEST(claims.notVisibleAt(at(101)) == 2U);
-    BOOST_TEST(claims.notVisibleAt(at(107)) == 1U);
-    BOOST_TEST(claims.notVisibleAt(at(120)) == 0U);
-    BOOST_TEST(claims.notVisibleAt(at(121)) == 0U);
+    InTransitCount inTransit;
+    BOOST_TEST(inTransit.notVisibleAt(at(0)) == 0U);
+    inTransit.note(at(100));
+    inTransit.note(at(103));
+    // The report was taken before the requests or while they were in transit.
+    BOOST_TEST(inTransit.notVisibleAt(at(95)) == 2U);
+    BOOST_TEST(inTransit.notVisibleAt(at(101)) == 2U);
+    BOOST_TEST(inTransit.notVisibleAt(at(107)) == 1U);
+    BOOST_TEST(inTransit.notVisibleAt(at(120)) == 0U);
+    BOOST_TEST(inTransit.notVisibleAt(at(121)) == 0U);
 }
--- a/tests/direct/test_notices.cpp
+++ b/tests/direct/test_notices.cpp
@@ -29,14 +29,14 @@
     return record;
 }
 
-const ReplicaNotice sLeaves{true, std::nullopt, {}};
+const ReplicaNotice sLeavingNotice{true, std::nullopt, {}};
 
-ReplicaNotice restsFor(Microseconds time)
+ReplicaNotice restNotice(Microseconds time)
 {
     return {false, time, {}};
 }
 
-bool isOpen(const ReplicaSet &set, int milliseconds)
+bool isChosen(const ReplicaSet &set, int milliseconds)
 {
     ReplicaQuery query;
     query.service = "plain";
@@ -54,80 +54,80 @@
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", 7), at(0));
-    BOOST_TEST(set.applyNotice("r1", 7, sLeaves, at(10)).hasStartedLeaving);
-    BOOST_TEST(!set.applyNotice("r1", 7, sLeaves, at(11)).hasStartedLeaving);
+    BOOST_TEST(set.applyNotice("r1", 7, sLeavingNotice, at(10)).hasStartedLeaving);
+    BOOST_TEST(!set.applyNotice("r1", 7, sLeavingNotice, at(11)).hasStartedLeaving);
     BOOST_TEST(!set.applyNotice("r1", 7, {}, at(12)).hasStartedLeaving);
-    BOOST_TEST(!isOpen(set, 12));
+    BOOST_TEST(!isChosen(set, 12));
     set.put(record("r1", 7), at(20));
-    BOOST_TEST(!isOpen(set, 20));
-    // Doubtfully removed and back, and for certain, swept, and back.
+    BOOST_TEST(!isChosen(set, 20));
+    // The record is removed and returns: once untrusted, once trusted and swept.
     set.remove("r1", false, Microseconds(0), at(30));
     set.put(record("r1", 7), at(40));
-    BOOST_TEST(!isOpen(set, 40));
+    BOOST_TEST(!isChosen(set, 40));
     set.remove("r1", true, Microseconds(0), at(50));
     set.sweep(at(60));
     BOOST_TEST(set.find("r1") == nullptr);
     set.put(record("r1", 7), at(70));
     BOOST_TEST((unavailableReason(set, 70) == UnavailableReason::Leaving));
-    // A record without a start may be of any life.
+    // A record without a start time may belong to any incarnation.
     set.remove("r1", true, Microseconds(0), at(80));
     set.sweep(at(90));
     set.put(record("r1"), at(100));
-    BOOST_TEST(!isOpen(set, 100));
+    BOOST_TEST(!isChosen(set, 100));
 }
 
 BOOST_AUTO_TEST_CASE(new_incarnation_ignores_notices_of_an_earlier_one)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", 7), at(0));
-    set.applyNotice("r1", 7, sLeaves, at(10));
-    set.applyNotice("r1", 7, restsFor(Milliseconds(5'000)), at(10));
+    set.applyNotice("r1", 7, sLeavingNotice, at(10));
+    set.applyNotice("r1", 7, restNotice(Milliseconds(5'000)), at(10));
     set.put(record("r1", 8), at(20));
-    BOOST_TEST(isOpen(set, 20));
-    // A late answer of the earlier life, and its record, read anew from a store that is behind.
-    set.applyNotice("r1", 7, restsFor(Milliseconds(5'000)), at(30));
-    BOOST_TEST(isOpen(set, 30));
+    BOOST_TEST(isChosen(set, 20));
+    // A late answer of the earlier incarnation, and then its record from a store that lags behind.
+    set.applyNotice("r1", 7, restNotice(Milliseconds(5'000)), at(30));
+    BOOST_TEST(isChosen(set, 30));
     set.put(record("r1", 7), at(40));
     BOOST_TEST((unavailableReason(set, 40) == UnavailableReason::Leaving));
     set.put(record("r1", 8), at(50));
-    BOOST_TEST(isOpen(set, 50));
+    BOOST_TEST(isChosen(set, 50));
 }
 
 BOOST_AUTO_TEST_CASE(notice_received_before_the_record_is_kept)
 {
     ReplicaSet set(sDrainTime);
-    BOOST_TEST(set.applyNotice("r1", 0, sLeaves, at(0)).hasStartedLeaving);
+    BOOST_TEST(set.applyNotice("r1", 0, sLeavingNotice, at(0)).hasStartedLeaving);
     set.sweep(at(10));
     set.put(record("r1", 7), at(20));
-    BOOST_TEST(!isOpen(set, 20));
+    BOOST_TEST(!isChosen(set, 20));
 }
 
 BOOST_AUTO_TEST_CASE(later_shorter_rest_does_not_end_a_longer_one)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1"), at(0));
-    BOOST_TEST(set.applyNotice("r1", 0, restsFor(Milliseconds(3'000)), at(0)).isRestExtended);
-    BOOST_TEST(!set.applyNotice("r1", 0, restsFor(Milliseconds(100)), at(10)).isRestExtended);
-    BOOST_TEST(!set.applyNotice("r1", 0, restsFor(Microseconds(0)), at(20)).isRestExtended);
-    BOOST_TEST(!isOpen(set, 2'999));
+    BOOST_TEST(set.applyNotice("r1", 0, restNotice(Milliseconds(3'000)), at(0)).isRestExtended);
+    BOOST_TEST(!set.applyNotice("r1", 0, restNotice(Milliseconds(100)), at(10)).isRestExtended);
+    BOOST_TEST(!set.applyNotice("r1", 0, restNotice(Microseconds(0)), at(20)).isRestExtended);
+    BOOST_TEST(!isChosen(set, 2'999));
     BOOST_TEST((unavailableReason(set, 2'999) == UnavailableReason::Resting));
-    BOOST_TEST(isOpen(set, 3'000));
+    BOOST_TEST(isChosen(set, 3'000));
     BOOST_TEST(
-        set.applyNotice("r1", 0, restsFor(std::chrono::hours(9'000)), at(3'000)).isRestExtended);
-    BOOST_TEST(!isOpen(set, 24 * 3'600'000));
+        set.applyNotice("r1", 0, restNotice(std::chrono::hours(9'000)), at(3'000)).isRestExtended);
+    BOOST_TEST(!isChosen(set, 24 * 3'600'000));
 }
 
-BOOST_AUTO_TEST_CASE(callers_are_told_to_retry_after_all_rests_end)
+BOOST_AUTO_TEST_CASE(callers_are_told_to_retry_after_the_first_rest_ends)
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1"), at(0));
     set.put(record("r2"), at(0));
-    set.applyNotice("r1", 0, restsFor(Milliseconds(900)), at(0));
+    set.applyNotice("r1", 0, restNotice(Milliseconds(900)), at(0));
     ReplicaQuery query;
     query.service = "plain";
     BOOST_TEST(!set.retryDelayIfPaused(query, at(1)).has_value());
     set.ended("r2", ReplicaOutcome::Refused, at(1));
-    set.applyNotice("r2", 0, restsFor(Milliseconds(700)), at(1));
+    set.applyNotice("r2", 0, restNotice(Milliseconds(700)), at(1));
     const ReplicaChoice choice = set.choose(query, at(1));
     const auto *busy = std::get_if<AllBusy>(&choice);
     BOOST_REQUIRE(busy != nullptr);
@@ -139,25 +139,25 @@
 
 BOOST_AUTO_TEST_CASE(concurrency_limit_recovers_by_doubling_or_by_time)
 {
-    ConcurrencyLimit level;
-    BOOST_TEST(!level.most(at(0)).has_value());
-    level.noteAnswer();
-    BOOST_TEST(!level.most(at(0)).has_value());
-    // Full: good answers change nothing, time does.
-    level.lower(15, 16, at(0));
-    level.noteAnswer();
-    BOOST_TEST((level.most(at(9'999)) == std::optional<double>(15)));
-    BOOST_TEST(!level.most(at(10'000)).has_value());
-    // In need though it held nothing: one, then double with each good answer.
-    level.lower(0, 16, at(20'000));
-    BOOST_TEST((level.most(at(90'000)) == std::optional<double>(1)));
-    level.noteAnswer();
-    BOOST_TEST((level.most(at(90'000)) == std::optional<double>(2)));
-    level.noteAnswer();
-    level.noteAnswer();
-    BOOST_TEST(!level.most(at(90'000)).has_value());
-    level.lower(40, 16, at(100'000));
-    BOOST_TEST((level.most(at(100'000)) == std::optional<double>(16)));
+    ConcurrencyLimit limit;
+    BOOST_TEST(!limit.limit(at(0)).has_value());
+    limit.noteAnswer();
+    BOOST_TEST(!limit.limit(at(0)).has_value());
+    // A limit of at least half the slots is not raised by answers, but it expires.
+    limit.lower(15, 16, at(0));
+    limit.noteAnswer();
+    BOOST_TEST((limit.limit(at(9'999)) == std::optional<double>(15)));
+    BOOST_TEST(!limit.limit(at(10'000)).has_value());
+    // A replica that asked for a rest without any request: one, then doubled by each answer.
+    limit.lower(0, 16, at(20'000));
+    BOOST_TEST((limit.limit(at(90'000)) == std::optional<double>(1)));
+    limit.noteAnswer();
+    BOOST_TEST((limit.limit(at(90'000)) == std::optional<double>(2)));
+    limit.noteAnswer();
+    limit.noteAnswer();
+    BOOST_TEST(!limit.limit(at(90'000)).has_value());
+    limit.lower(40, 16, at(100'000));
+    BOOST_TEST((limit.limit(at(100'000)) == std::optional<double>(16)));
 }
 
 BOOST_AUTO_TEST_CASE(replica_that_refused_all_gets_one_request_at_a_time_after_its_rest)
@@ -165,14 +165,14 @@
     ReplicaSet set(sDrainTime);
     set.put(record("r1"), at(0));
     set.began("r1", false, at(0));
-    set.applyNotice("r1", 0, restsFor(Milliseconds(100)), at(1));
+    set.applyNotice("r1", 0, restNotice(Milliseconds(100)), at(1));
     set.ended("r1", ReplicaOutcome::Refused, at(1));
-    BOOST_TEST(isOpen(set, 101));
+    BOOST_TEST(isChosen(set, 101));
     set.began("r1", false, at(101));
-    BOOST_TEST(!isOpen(set, 102));
+    BOOST_TEST(!isChosen(set, 102));
     set.ended("r1", ReplicaOutcome::Answered, at(103));
     set.began("r1", false, at(103));
-    BOOST_TEST(isOpen(set, 103));
+    BOOST_TEST(isChosen(set, 103));
 }
 
 namespace {
@@ -207,51 +207,51 @@
 };
 constexpr Size sSizes[] = {{9, 12}, {41, 45}};
 
-OverloadLab::Notices play(const OverloadLab::Shape &shape, double load, std::string_view way)
+OverloadLab::Notices run(const OverloadLab::Shape &shape, double load, std::string_view label)
 {
     OverloadLab lab(shape);
-    const auto seconds = lab.play({{sSeconds, load * lab.capacity()}});
+    const auto seconds = lab.run({{sSeconds, load * lab.capacity()}});
     int inTime = 0;
     int late = 0;
-    int asked = 0;
+    int calls = 0;
     for (const OverloadLab::Second &second : seconds) {
         inTime += second.inTime;
         late += second.late;
-        asked += second.asked;
+        calls += second.calls;
     }
     const OverloadLab::Notices &notices = lab.notices();
-    BOOST_TEST_MESSAGE(shape.gateways << " gateways, " << shape.engines << " engines, load " << load
-                                      << ", " << way << ": in time " << inTime << ", late " << late
-                                      << " of " << asked << "; turned away " << notices.rejections
-                                      << ", rests " << notices.rests << ", most in one "
-                                      << notices.maxDuringRest << "; told of a leaving "
-                                      << notices.announcedLeaving << ", requests after it "
-                                      << notices.sentAfterLeaving);
+    BOOST_TEST_MESSAGE(shape.gateways
+                       << " gateways, " << shape.engines << " engines, load " << load << ", "
+                       << label << ": in time " << inTime << ", late " << late << " of " << calls
+                       << "; refused " << notices.rejections << ", rests " << notices.rests
+                       << ", most requests in one " << notices.maxDuringRest << "; leaving notices "
+                       << notices.announcedLeaving << ", requests after them "
+                       << notices.sentAfterLeaving);
     return notices;
 }
 
 } // namespace
 
-// Engines that hold as many requests as they have slots turn others away.
+// Engines refuse requests beyond their slots and ask for a rest with each refusal.
 BOOST_AUTO_TEST_CASE(resting_engines_get_few_requests_from_gateways_that_they_told)
 {
     for (const Size size : sSizes) {
         for (const double load : sLoads) {
             OverloadLab::Shape lab = shape(1, size.gateways, size.engines);
             lab.maxHeld = lab.figures.slots;
-            play(lab, load, "nobody asks for rest");
+            run(lab, load, "no rests");
             lab.restMs = 3'000;
-            const auto heeded = play(lab, load, "rests heeded");
-            BOOST_TEST(heeded.maxDuringRest <= sMaxDuringRest);
-            BOOST_TEST((load < 1 || heeded.rests > 0));
+            const auto withNotices = run(lab, load, "rests applied");
+            BOOST_TEST(withNotices.maxDuringRest <= sMaxDuringRest);
+            BOOST_TEST((load < 1 || withNotices.rests > 0));
             lab.readsNotices = false;
-            const auto unread = play(lab, load, "rests not read");
-            BOOST_TEST((load < 1 || unread.maxDuringRest > sMaxDuringRest));
+            const auto withoutNotices = run(lab, load, "rests ignored");
+            BOOST_TEST((load < 1 || withoutNotices.maxDuringRest > sMaxDuringRest));
         }
     }
 }
 
-// The store says nothing all the while: only the engines' answers tell.
+// The store does not report the leaving engines, so gateways learn it only from answers.
 BOOST_AUTO_TEST_CASE(leaving_engines_get_no_requests_from_gateways_that_they_told)
 {
     for (const Size size : sSizes) {
@@ -259,11 +259,11 @@
             OverloadLab::Shape lab = shape(1, size.gateways, size.engines);
             lab.leaving = size.engines / 8;
             lab.leaveAtMs = 6'000;
-            const auto heeded = play(lab, load, "leavings heeded");
-            BOOST_TEST(heeded.sentAfterLeaving == 0);
-            BOOST_TEST(heeded.announcedLeaving > 0);
+            const auto withNotices = run(lab, load, "leaving notices applied");
+            BOOST_TEST(withNotices.sentAfterLeaving == 0);
+            BOOST_TEST(withNotices.announcedLeaving > 0);
             lab.readsNotices = false;
-            BOOST_TEST(play(lab, load, "leavings not read").sentAfterLeaving > 0);
+            BOOST_TEST(run(lab, load, "leaving notices ignored").sentAfterLeaving > 0);
         }
     }
 }
--- a/tests/direct/test_pendingqueries.cpp
+++ b/tests/direct/test_pendingqueries.cpp
@@ -15,31 +15,31 @@
 
 BOOST_AUTO_TEST_CASE(answer_is_no_older_than_its_query)
 {
-    PendingQueries questions(at(0));
-    questions.ask(at(300));
-    questions.ask(at(600));
-    BOOST_TEST((questions.answered() == at(0)));
-    BOOST_TEST((questions.answered() == at(300)));
-    BOOST_TEST((questions.answered() == at(600)));
+    PendingQueries queries(at(0));
+    queries.ask(at(300));
+    queries.ask(at(600));
+    BOOST_TEST((queries.answered() == at(0)));
+    BOOST_TEST((queries.answered() == at(300)));
+    BOOST_TEST((queries.answered() == at(600)));
 }
 
-// What comes unasked may be of any time since the last question that was answered.
+// An unsolicited message may be from any time since the last answered query was sent.
 BOOST_AUTO_TEST_CASE(unsolicited_message_is_no_older_than_the_last_answered_query)
 {
-    PendingQueries questions(at(10));
-    questions.ask(at(300));
-    BOOST_TEST((questions.heard() == at(10)));
-    questions.answered();
-    BOOST_TEST((questions.heard() == at(10)));
-    questions.answered();
-    BOOST_TEST((questions.heard() == at(300)));
+    PendingQueries queries(at(10));
+    queries.ask(at(300));
+    BOOST_TEST((queries.heard() == at(10)));
+    queries.answered();
+    BOOST_TEST((queries.heard() == at(10)));
+    queries.answered();
+    BOOST_TEST((queries.heard() == at(300)));
 }
 
-// Without a question nothing is known to be fresh.
+// Nothing is known about the age of an answer without an open query.
 BOOST_AUTO_TEST_CASE(answer_without_a_query_has_no_known_age)
 {
-    PendingQueries questions(at(0));
-    BOOST_TEST(questions.answered().has_value());
-    BOOST_TEST(!questions.answered().has_value());
-    BOOST_TEST((questions.heard() == at(0)));
+    PendingQueries queries(at(0));
+    BOOST_TEST(queries.answered().has_value());
+    BOOST_TEST(!queries.answered().has_value());
+    BOOST_TEST((queries.heard() == at(0)));
 }
--- a/tests/direct/test_probeplan.cpp
+++ b/tests/direct/test_probeplan.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/** Replicas spread over data centres, as one gateway knows them. */
+/** Replicas that are spread over data centres, as known to one gateway. */
 struct Fleet
 {
     Fleet(std::size_t count, std::size_t dataCentres)
@@ -58,17 +58,17 @@
 
 BOOST_AUTO_TEST_CASE(subset_size_is_bounded_in_a_large_fleet)
 {
-    const ReplicaQuery asked = query();
+    const ReplicaQuery request = query();
     for (const std::size_t count : {1U, 12U, 16U, 45U, 120U, 1'800U}) {
         const Fleet fleet(count, 5);
-        const auto subset = ProbePlan("g1", asked, at(0)).subset(fleet.usable);
+        const auto subset = ProbePlan("g1", request, at(0)).subset(fleet.usable);
         BOOST_TEST(subset.size() == std::min<std::size_t>(count, 16));
     }
     const Fleet large(120, 5);
-    const auto subset = ProbePlan("g1", asked, at(0)).subset(large.usable);
-    const auto near = std::ranges::count_if(
+    const auto subset = ProbePlan("g1", request, at(0)).subset(large.usable);
+    const auto localCount = std::ranges::count_if(
         subset, [](const Replica *replica) { return replica->record.dataCentre == "z0"; });
-    BOOST_TEST(near == 12);
+    BOOST_TEST(localCount == 12);
 }
 
 BOOST_AUTO_TEST_CASE(subsets_cover_every_replica_of_a_large_fleet_evenly)
@@ -76,11 +76,11 @@
     const Fleet fleet(120, 5);
     std::map<std::string, int> users;
     for (int gateway = 0; gateway < 149; ++gateway) {
-        ReplicaQuery asked = query();
-        const std::string zone = "z" + std::to_string(gateway % 5);
-        asked.dataCentre = zone;
+        ReplicaQuery request = query();
+        const std::string dataCentre = "z" + std::to_string(gateway % 5);
+        request.dataCentre = dataCentre;
         const std::string key = "gateway-" + std::to_string(gateway);
-        for (const Replica *replica : ProbePlan(key, asked, at(0)).subset(fleet.usable)) {
+        for (const Replica *replica : ProbePlan(key, request, at(0)).subset(fleet.usable)) {
             ++users[replica->record.id];
         }
     }
@@ -94,8 +94,8 @@
 BOOST_AUTO_TEST_CASE(first_round_probes_the_local_data_centre_and_later_rounds_probe_others)
 {
     const Fleet fleet(120, 5);
-    const ReplicaQuery asked = query(7);
-    const ProbePlan plan("g1", asked, at(0));
+    const ReplicaQuery request = query(7);
+    const ProbePlan plan("g1", request, at(0));
     std::vector<std::string> ids;
     for (const Replica *replica : plan.choose(ProbeRound::Local, fleet.usable, ids)) {
         BOOST_TEST(replica->record.dataCentre == "z0");
@@ -116,24 +116,24 @@
     for (std::size_t index = 0; index < 6; ++index) {
         fleet.replicas[index].record.weightsVersion = 2;
     }
-    ReplicaQuery asked = query(3);
-    asked.minVersion = 2;
-    std::set<std::string> old;
+    ReplicaQuery request = query(3);
+    request.minVersion = 2;
+    std::set<std::string> outdated;
     for (std::uint64_t random = 0; random < 50; ++random) {
-        asked.random = random * 7'919;
-        const ProbePlan plan("g1", asked, at(0));
+        request.random = random * 7'919;
+        const ProbePlan plan("g1", request, at(0));
         int promising = 0;
         for (const Replica *replica : plan.choose(ProbeRound::Local, fleet.usable, {})) {
             const bool isNew = replica->record.weightsVersion == 2;
             promising += isNew ? 1 : 0;
             if (!isNew) {
-                old.insert(replica->record.id);
+                outdated.insert(replica->record.id);
             }
         }
         BOOST_TEST(promising == 3);
     }
-    // Over time each of the others is asked whether it has them by now.
-    BOOST_TEST(old.size() == 6U);
+    // Over time every replica with outdated weights is probed.
+    BOOST_TEST(outdated.size() == 6U);
 }
 
 BOOST_AUTO_TEST_CASE(remote_replicas_with_expiring_weights_are_probed_like_outdated_ones)
@@ -144,39 +144,39 @@
     }
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000));
-    ReplicaQuery asked = query();
-    asked.weights = &goal;
-    asked.model = "m";
+    ReplicaQuery request = query();
+    request.weights = &goal;
+    request.model = "m";
     for (std::uint64_t random = 0; random < 50; ++random) {
-        asked.random = random * 7'919;
-        const auto plan = ProbePlan("g1", asked, at(0));
+        request.random = random * 7'919;
+        const auto plan = ProbePlan("g1", request, at(0));
         const auto chosen = plan.choose(ProbeRound::Any, fleet.usable, {});
-        const auto wasted = std::ranges::count_if(chosen, [](const Replica *replica) {
+        const auto outdatedRemote = std::ranges::count_if(chosen, [](const Replica *replica) {
             return replica->record.dataCentre != "z0" && replica->record.weightsVersion == 1;
         });
-        BOOST_TEST(wasted == 1);
+        BOOST_TEST(outdatedRemote == 1);
     }
 }
 
 BOOST_AUTO_TEST_CASE(replica_that_loads_weights_is_probed_less_until_the_load_may_be_over)
 {
     Fleet fleet(5, 1);
-    ReplicaLoad away;
-    away.isAccepting = false;
-    away.weightsVersion = 1;
+    ReplicaLoad loading;
+    loading.isAccepting = false;
+    loading.weightsVersion = 1;
     for (std::size_t index = 0; index < 2; ++index) {
-        fleet.replicas[index].load = away;
+        fleet.replicas[index].load = loading;
         fleet.replicas[index].loadAt = at(1'000);
     }
-    const auto countAway = [&](Instant now) {
-        const ReplicaQuery asked = query(11);
+    const auto countLoading = [&](Instant now) {
+        const ReplicaQuery request = query(11);
         int count = 0;
         for (const Replica *replica :
-             ProbePlan("g1", asked, now).choose(ProbeRound::Local, fleet.usable, {})) {
+             ProbePlan("g1", request, now).choose(ProbeRound::Local, fleet.usable, {})) {
             count += replica->load ? 1 : 0;
         }
         return count;
     };
-    BOOST_TEST(countAway(at(1'010)) == 1);
-    BOOST_TEST(countAway(at(1'300)) >= 1);
+    BOOST_TEST(countLoading(at(1'010)) == 1);
+    BOOST_TEST(countLoading(at(1'300)) >= 1);
 }
--- a/tests/direct/test_ratelimited.cpp
+++ b/tests/direct/test_ratelimited.cpp
@@ -19,7 +19,7 @@
     return Instant(Milliseconds(10'000 + ms));
 }
 
-/** One replica of a plain service. */
+/** A set with one replica of a plain service. */
 struct RateLimitLab
 {
     RateLimitLab()
--- a/tests/direct/test_replicaset.cpp
+++ b/tests/direct/test_replicaset.cpp
@@ -56,9 +56,9 @@
     return query;
 }
 
-std::string chosen(const ReplicaSet &set, const ReplicaQuery &asked, Instant now)
+std::string chosen(const ReplicaSet &set, const ReplicaQuery &request, Instant now)
 {
-    const ReplicaChoice choice = set.choose(asked, now);
+    const ReplicaChoice choice = set.choose(request, now);
     const auto *replica = std::get_if<ChosenReplica>(&choice);
     return replica == nullptr ? "" : replica->id;
 }
@@ -74,7 +74,7 @@
     draining.isDraining = true;
     set.put(draining, at(0));
     BOOST_TEST(chosen(set, query(), at(0)) == "");
-    // A late record of the same life does not bring it back.
+    // A late record of the same incarnation does not make the replica available again.
     set.put(record("r1", "here"), at(0));
     BOOST_TEST(chosen(set, query(), at(0)) == "");
     set.put(record("r2", "here", 0), at(0));
@@ -90,14 +90,14 @@
     set.put(record("r1", "here"), at(0));
     set.remove("r1", false, Microseconds(0), at(0));
     BOOST_TEST(chosen(set, query(), at(1'400)) == "r1");
-    // It may have left for good: its use ends before the draining time does.
+    // The replica may have left for good, so its use ends before the drain time does.
     BOOST_TEST(chosen(set, query(), at(1'600)) == "");
     set.put(record("r1", "here"), at(0));
     BOOST_TEST(chosen(set, query(), at(2'700)) == "r1");
 }
 
-// A replica drained, ended and started again with the id that it had. It kept the word
-// of its earlier life, that it leaves, and was never used again:
+// A replica drained, stopped and started again with the same id. Its new incarnation was still
+// treated as draining and was never used again:
 //   replica-state  replica=r1 draining=true  weights=2
 //   replica-state  replica=r1 draining=false weights=1
 //   call           outcome=refused reason="no replica can take it"
@@ -133,7 +133,7 @@
     first.born = 1'000;
     set.put(first, at(0));
     ReplicaRecord second = record("r1", "here", 0);
-    second.born = 500; // its clock was set back meanwhile
+    second.born = 500; // its clock was set back in between
     set.put(second, at(2));
     BOOST_TEST(set.find("r1")->weightsVersion() == 0U);
     BOOST_TEST(chosen(set, query(), at(2)) == "");
@@ -169,15 +169,15 @@
     set.unreadable("r1", at(1));
     BOOST_TEST(chosen(set, query(), at(1)) == "r2");
     BOOST_TEST(set.find("r1") != nullptr);
-    set.unreadable("r3", at(1)); // one that nobody knew
+    set.unreadable("r3", at(1)); // an unknown replica
     BOOST_TEST(set.find("r3") == nullptr);
     set.put(record("r1", "here"), at(2));
     BOOST_TEST(chosen(set, query(), at(2)) == "r1");
 }
 
-// A load of new weights may cut the streams that run, and each of them counts as a failure:
-// the replica would be avoided for up to 4 s after it had loaded. Found by reading the code;
-// no log shows it.
+// A load of new weights may interrupt running streams, and each of them counts as a failure.
+// The replica would be avoided for up to 4 s after the load. Found by reading the code; it
+// was not seen in a log.
 BOOST_AUTO_TEST_CASE(new_weights_clear_the_failures_that_their_load_caused)
 {
     ReplicaSet set(sDrainTime);
@@ -208,7 +208,7 @@
     BOOST_TEST(chosen(set, query(), at(300)) == "r1");
     set.remove("r1", true, Microseconds(0), at(400));
     BOOST_TEST(chosen(set, query(), at(400)) == "");
-    // A doubtful one after it changes nothing.
+    // A later untrusted removal changes nothing.
     set.remove("r1", false, Microseconds(0), at(500));
     BOOST_TEST(chosen(set, query(), at(500)) == "");
 }
@@ -229,17 +229,17 @@
 {
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
-    ReplicaQuery asked = query();
-    asked.minVersion = 2;
-    BOOST_TEST(chosen(set, asked, at(0)) == "");
-    // The stager of its box knows sooner than the store.
+    ReplicaQuery request = query();
+    request.minVersion = 2;
+    BOOST_TEST(chosen(set, request, at(0)) == "");
+    // The agent of its box reports new weights sooner than the store.
     ReplicaLoad load;
     load.weightsVersion = 2;
     set.report("10.0.0.1:1", load, at(0));
-    BOOST_TEST(chosen(set, asked, at(0)) == "r1");
+    BOOST_TEST(chosen(set, request, at(0)) == "r1");
     load.isAccepting = false;
     set.report("10.0.0.1:1", load, at(10));
-    BOOST_TEST(chosen(set, asked, at(10)) == "");
+    BOOST_TEST(chosen(set, request, at(10)) == "");
 }
 
 BOOST_AUTO_TEST_CASE(least_loaded_replica_is_chosen_and_the_local_one_on_a_tie)
@@ -253,7 +253,7 @@
     busy.waiting = 4;
     set.report("10.0.0.1:2", busy, at(0));
     BOOST_TEST(chosen(set, query(), at(0)) == "r1");
-    // What this gateway sent since the report counts on top of it.
+    // Requests that this gateway sent after the report are added to it.
     for (int i = 0; i < 6; ++i) {
         set.began("r1", false, at(0));
     }
@@ -287,7 +287,7 @@
     full.waiting = 6;
     set.report("10.0.0.1:1", full, at(0));
     BOOST_TEST(chosen(set, query(), at(0)) == "");
-    // Of the same six, five stand behind whoever comes now.
+    // Five of the same six yield to new requests.
     full.waitingPatient = 5;
     set.report("10.0.0.1:1", full, at(10));
     const ReplicaChoice prompt = set.choose(query(), at(10));
@@ -307,7 +307,7 @@
     const ReplicaChoice choice = set.choose(late, at(0));
     BOOST_REQUIRE(std::holds_alternative<ChosenReplica>(choice));
     BOOST_TEST(std::get<ChosenReplica>(choice).isPatient);
-    // Callers come for whom the last place is needed.
+    // The last slot is needed for calls that can still meet their goal.
     for (int call = 0; call < 40; ++call) {
         set.noteCall("scorer", query().goal, at(0));
     }
@@ -327,10 +327,10 @@
     load.running = 16;
     load.waiting = 1;
     set.report("10.0.0.1:1", load, at(0));
-    ReplicaQuery asked = query();
-    BOOST_TEST(chosen(set, asked, at(0)) == "r1");
-    asked.waited = Milliseconds(200);
-    BOOST_TEST(chosen(set, asked, at(0)) == "");
+    ReplicaQuery request = query();
+    BOOST_TEST(chosen(set, request, at(0)) == "r1");
+    request.waited = Milliseconds(200);
+    BOOST_TEST(chosen(set, request, at(0)) == "");
 }
 
 BOOST_AUTO_TEST_CASE(resumed_stream_is_queued_rather_than_refused)
@@ -342,19 +342,19 @@
     full.running = 16;
     full.waiting = 4;
     set.report("10.0.0.1:1", full, at(0));
-    ReplicaQuery asked = query();
-    BOOST_TEST(chosen(set, asked, at(0)) == "");
-    asked.isResumed = true;
-    BOOST_TEST(chosen(set, asked, at(0)) == "r1");
+    ReplicaQuery request = query();
+    BOOST_TEST(chosen(set, request, at(0)) == "");
+    request.isResumed = true;
+    BOOST_TEST(chosen(set, request, at(0)) == "r1");
     full.waiting = 10;
     set.report("10.0.0.1:1", full, at(10));
-    BOOST_TEST(chosen(set, asked, at(10)) == "");
+    BOOST_TEST(chosen(set, request, at(10)) == "");
 }
 
 BOOST_AUTO_TEST_CASE(capacity_of_one_replica_is_shared_among_all_gateways)
 {
-    // Twelve replicas are full but one, which has room for a few requests.
-    // Twenty gateways hear of it, and 2,000 calls a second come to them.
+    // Eleven of twelve replicas are full, and one has capacity for a few requests. Twenty
+    // gateways know it and get 2,000 calls per second.
     ReplicaSet set(sDrainTime);
     for (int index = 1; index <= 12; ++index) {
         set.put(record("r" + std::to_string(index), "here"), at(0));
@@ -370,13 +370,13 @@
     int sent = 0;
     constexpr int calls = 2'000;
     for (std::uint64_t random = 1; random <= calls; ++random) {
-        ReplicaQuery asked = query();
-        asked.gatewayCount = 20;
-        asked.random = random * 0x9e3779b97f4a7c15ULL;
-        sent += chosen(set, asked, at(10'000)).empty() ? 0 : 1;
+        ReplicaQuery request = query();
+        request.gatewayCount = 20;
+        request.random = random * 0x9e3779b97f4a7c15ULL;
+        sent += chosen(set, request, at(10'000)).empty() ? 0 : 1;
     }
-    // Until the next report, 100 ms later, 200 calls come: all of them at once
-    // would fill that replica's queue for seconds.
+    // 200 calls arrive until the next report, 100 ms later. All of them together would fill
+    // that replica's queue for seconds.
     const double perReport = 200.0 * sent / calls;
     BOOST_TEST(perReport > 1);
     BOOST_TEST(perReport < 6);
@@ -393,10 +393,10 @@
     const auto shareSent = [&](Milliseconds goal) {
         int sent = 0;
         for (std::uint64_t random = 1; random <= 1'000; ++random) {
-            ReplicaQuery asked = query();
-            asked.goal = goal;
-            asked.random = random * 0x9e3779b97f4a7c15ULL;
-            sent += chosen(set, asked, at(10)).empty() ? 0 : 1;
+            ReplicaQuery request = query();
+            request.goal = goal;
+            request.random = random * 0x9e3779b97f4a7c15ULL;
+            sent += chosen(set, request, at(10)).empty() ? 0 : 1;
         }
         return sent;
     };
@@ -411,7 +411,7 @@
 
 BOOST_AUTO_TEST_CASE(gateways_with_the_same_reports_spread_their_choices)
 {
-    // Twenty replicas, one of them empty, the others with a few places left.
+    // One of twenty replicas is idle, and the others have a few free slots.
     ReplicaSet set(sDrainTime);
     for (int index = 1; index <= 20; ++index) {
         const std::string id = "r" + std::to_string(index);
@@ -424,16 +424,17 @@
     const auto shareOfEmpty = [&] {
         int empty = 0;
         for (std::uint64_t random = 1; random <= 1'000; ++random) {
-            ReplicaQuery asked = query();
-            asked.random = random * 0x9e3779b97f4a7c15ULL;
-            asked.gatewayCount = 3;
-            empty += chosen(set, asked, at(10'050)) == "r1" ? 1 : 0;
+            ReplicaQuery request = query();
+            request.random = random * 0x9e3779b97f4a7c15ULL;
+            request.gatewayCount = 3;
+            empty += chosen(set, request, at(10'050)) == "r1" ? 1 : 0;
         }
         return empty;
     };
-    // Nobody calls: whoever comes takes the best of those that it looks at.
+    // Without other calls, a request takes the best of the replicas that it examines.
     BOOST_TEST(shareOfEmpty() > 600);
-    // 800 calls a second: it gets little more than its share until it is heard of again.
+    // At 800 calls per second, the idle replica gets little more than its share until the next
+    // report.
     for (int call = 0; call < 400; ++call) {
         set.noteCall("scorer", query().goal, at(10'000 + call / 10));
     }
@@ -460,34 +461,34 @@
 BOOST_AUTO_TEST_CASE(expiring_weights_only_take_requests_that_start_at_once)
 {
     WeightsGoal goal(Milliseconds(8'000));
-    goal.name("m", 2, at(-7'000)); // version 1 may begin requests until 1 s
+    goal.name("m", 2, at(-7'000)); // version 1 may start requests until 1 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
     ReplicaLoad load;
     load.weightsVersion = 1;
     load.running = 3;
     load.roundTrip = Milliseconds(5);
-    ReplicaQuery asked = query();
-    asked.weights = &goal;
-    asked.model = "m";
+    ReplicaQuery request = query();
+    request.weights = &goal;
+    request.model = "m";
     const std::vector<std::string> answered{"r1"};
-    asked.answered = answered;
-    BOOST_TEST(chosen(set, asked, at(0)) == ""); // nothing is known of it
+    request.answered = answered;
+    BOOST_TEST(chosen(set, request, at(0)) == ""); // there is no report of it
     set.report("10.0.0.1:1", load, at(0));
-    BOOST_TEST(chosen(set, asked, at(100)) == "r1");
-    BOOST_TEST(chosen(set, asked, at(200)) == ""); // known, but a while ago
+    BOOST_TEST(chosen(set, request, at(100)) == "r1");
+    BOOST_TEST(chosen(set, request, at(200)) == ""); // the report is too old
     load.isLinkSlow = true;
     set.report("10.0.0.1:1", load, at(250));
-    BOOST_TEST(chosen(set, asked, at(260)) == "");
+    BOOST_TEST(chosen(set, request, at(260)) == "");
     load.isLinkSlow = false;
     load.waiting = 8;
     set.report("10.0.0.1:1", load, at(300));
-    BOOST_TEST(chosen(set, asked, at(310)) == "");
+    BOOST_TEST(chosen(set, request, at(310)) == "");
     load.waiting = 0;
     set.report("10.0.0.1:1", load, at(400));
     set.began("r1", false, at(400));
     set.ended("r1", ReplicaOutcome::Failed, at(400));
-    BOOST_TEST(chosen(set, asked, at(410)) == "r1");
+    BOOST_TEST(chosen(set, request, at(410)) == "r1");
 }
 
 BOOST_AUTO_TEST_CASE(weights_with_time_left_take_requests_that_start_well_before_expiry)
@@ -496,109 +497,109 @@
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
-    ReplicaQuery asked = query();
-    asked.weights = &goal;
-    asked.model = "m";
-    asked.goal = Milliseconds(5'000);
+    ReplicaQuery request = query();
+    request.weights = &goal;
+    request.model = "m";
+    request.goal = Milliseconds(5'000);
     const std::vector<std::string> answered{"r1"};
-    asked.answered = answered;
+    request.answered = answered;
     ReplicaLoad load;
     load.weightsVersion = 1;
     load.roundTrip = Milliseconds(5);
     load.running = 16;
     load.waiting = 2;
     set.report("10.0.0.1:1", load, at(0));
-    BOOST_TEST(chosen(set, asked, at(200)) == "r1");
-    BOOST_TEST(chosen(set, asked, at(400)) == ""); // silent for too long
-    load.waiting = 10; // a second and more: too long to be sure of
+    BOOST_TEST(chosen(set, request, at(200)) == "r1");
+    BOOST_TEST(chosen(set, request, at(400)) == ""); // its agent is silent for too long
+    load.waiting = 10; // a wait of more than a second is too uncertain
     set.report("10.0.0.1:1", load, at(500));
-    BOOST_TEST(chosen(set, asked, at(500)) == "");
-    // With newer weights it takes anything.
+    BOOST_TEST(chosen(set, request, at(500)) == "");
+    // With newer weights the replica accepts any request.
     load.weightsVersion = 2;
     set.report("10.0.0.1:1", load, at(600));
-    BOOST_TEST(chosen(set, asked, at(600)) == "r1");
+    BOOST_TEST(chosen(set, request, at(600)) == "r1");
 }
 
-// A gateway sent requests on older weights to replicas in another data centre 1.58 s
-// and 1.52 s before their end. Sending stopped 1.3 s before it. The link between the
-// data centres stood full, the requests lay on it for 1.50 s, and both began after the
-// end: 22 and 29 ms late. What had been heard of a replica up to 350 ms before counted as
-// knowledge of the way there, and a replica with a silent agent was used when no
-// other was.
+// A gateway sent two requests to replicas in another data centre 1.58 s and 1.52 s before the
+// expiry of their weights; sending stopped 1.3 s before it. The link between the data centres
+// was congested and queued the requests for 1.50 s, so that both started 22 and 29 ms too
+// late. At the time, a report of up to 350 ms before was taken as proof of a fast link, and a
+// replica with a silent agent was used when there was no other.
 BOOST_AUTO_TEST_CASE(expiring_weights_require_a_recent_fast_probe)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
-    ReplicaQuery asked = query();
-    asked.weights = &goal;
-    asked.model = "m";
+    ReplicaQuery request = query();
+    request.weights = &goal;
+    request.model = "m";
     ReplicaLoad load;
     load.weightsVersion = 1;
     load.roundTrip = Milliseconds(5);
     set.report("10.0.0.1:1", load, at(0));
-    BOOST_TEST(chosen(set, asked, at(20)) == ""); // no agent answered when it was asked
+    BOOST_TEST(chosen(set, request, at(20)) == ""); // no agent answered a probe
     const std::vector<std::string> answered{"r1"};
-    asked.answered = answered;
-    BOOST_TEST(chosen(set, asked, at(20)) == "r1");
-    load.roundTrip = Milliseconds(200); // it answered an earlier question, or the link is full
+    request.answered = answered;
+    BOOST_TEST(chosen(set, request, at(20)) == "r1");
+    load.roundTrip = Milliseconds(200); // an answer to an earlier probe, or a congested link
     set.report("10.0.0.1:1", load, at(30));
-    BOOST_TEST(chosen(set, asked, at(40)) == "");
-    load.roundTrip = Microseconds(0); // it spoke unasked: nothing is known of the way there
+    BOOST_TEST(chosen(set, request, at(40)) == "");
+    load.roundTrip = Microseconds(0); // an unsolicited report says nothing about the link
     set.report("10.0.0.1:1", load, at(50));
-    BOOST_TEST(chosen(set, asked, at(60)) == "");
-    // Newer weights may be taken wherever they are, and however little is heard.
+    BOOST_TEST(chosen(set, request, at(60)) == "");
+    // Replicas with newer weights may be used anywhere, also without a probe.
     set.put(record("r2", "there", 2), at(60));
-    asked.answered = {};
-    BOOST_TEST(chosen(set, asked, at(60)) == "r2");
+    request.answered = {};
+    BOOST_TEST(chosen(set, request, at(60)) == "r2");
 }
 
-// A gateway decides from when on weights are too old before it asks agents, and may stand
-// still until they have answered.
+// A gateway determines the lowest usable version before it probes agents, and the weights may
+// expire before these have answered.
 BOOST_AUTO_TEST_CASE(weights_that_expire_during_probing_get_no_requests)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-6'000)); // version 1 may begin requests until 2 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "here", 1), at(0));
-    ReplicaQuery asked = query();
-    asked.weights = &goal;
-    asked.model = "m";
+    ReplicaQuery request = query();
+    request.weights = &goal;
+    request.model = "m";
     const std::vector<std::string> answered{"r1"};
-    asked.answered = answered;
+    request.answered = answered;
     ReplicaLoad load;
     load.weightsVersion = 1;
     load.roundTrip = Milliseconds(5);
     for (const int time : {1'700, 2'000, 2'500}) {
         set.report("10.0.0.1:1", load, at(time));
-        BOOST_TEST(chosen(set, asked, at(time)) == "");
+        BOOST_TEST(chosen(set, request, at(time)) == "");
     }
 }
 
-// The agents of those replicas had answered at once: the link filled up right after,
-// and a request's reset cannot overtake it on a full link.
+// In the incident of expiring_weights_require_a_recent_fast_probe, the agents had answered at
+// once, and the link became congested right after. On a congested link, a reset cannot
+// overtake its request.
 BOOST_AUTO_TEST_CASE(expiring_weights_in_another_data_centre_get_no_requests)
 {
     WeightsGoal goal(Milliseconds(8'000));
     goal.name("m", 2, at(-4'000)); // version 1 may begin requests until 4 s
     ReplicaSet set(sDrainTime);
     set.put(record("r1", "there", 1), at(0));
-    ReplicaQuery asked = query();
-    asked.weights = &goal;
-    asked.model = "m";
+    ReplicaQuery request = query();
+    request.weights = &goal;
+    request.model = "m";
     const std::vector<std::string> answered{"r1"};
-    asked.answered = answered;
+    request.answered = answered;
     ReplicaLoad load;
     load.weightsVersion = 1;
     load.roundTrip = Milliseconds(5);
     set.report("10.0.0.1:1", load, at(1'200));
-    BOOST_TEST(chosen(set, asked, at(1'200)) == "r1");
+    BOOST_TEST(chosen(set, request, at(1'200)) == "r1");
     set.report("10.0.0.1:1", load, at(2'400));
-    BOOST_TEST(chosen(set, asked, at(2'400)) == "");
+    BOOST_TEST(chosen(set, request, at(2'400)) == "");
     load.weightsVersion = 2;
     set.report("10.0.0.1:1", load, at(2'410));
-    BOOST_TEST(chosen(set, asked, at(2'410)) == "r1");
+    BOOST_TEST(chosen(set, request, at(2'410)) == "r1");
 }
 
 BOOST_AUTO_TEST_CASE(new_replica_at_an_address_replaces_the_earlier_one)
--- a/tests/direct/test_retryadvice.cpp
+++ b/tests/direct/test_retryadvice.cpp
@@ -45,41 +45,40 @@
 BOOST_AUTO_TEST_CASE(callers_that_can_meet_their_goal_retry_within_it)
 {
     for (std::uint64_t random = 0; random < 1'024; random += 31) {
-        const ReplicaQuery asked = query(random);
-        const Milliseconds after = RetryAdvice(asked).whenBusy(1, false);
-        BOOST_TEST(after.count() >= 40);
-        BOOST_TEST(after.count() < 400);
+        const ReplicaQuery request = query(random);
+        const Milliseconds delay = RetryAdvice(request).whenBusy(1, false);
+        BOOST_TEST(delay.count() >= 40);
+        BOOST_TEST(delay.count() < 400);
     }
 }
 
-// Callers wait for a third of the time that they have left at most.
+// Callers wait at most a third of their remaining time.
 BOOST_AUTO_TEST_CASE(callers_that_cannot_meet_their_goal_retry_late_and_spread)
 {
     for (const bool isNone : {false, true}) {
-        Milliseconds first = Milliseconds::max();
-        Milliseconds last{0};
+        Milliseconds minDelay = Milliseconds::max();
+        Milliseconds maxDelay{0};
         for (std::uint64_t random = 0; random < 1'024; random += 31) {
-            const ReplicaQuery asked = query(random);
-            const RetryAdvice comeBack(asked);
-            const Milliseconds after
-                = isNone ? comeBack.whenNoneUsable() : comeBack.whenBusy(1, true);
-            BOOST_TEST(after.count() >= 1'000);
-            BOOST_TEST(after.count() <= 2'000);
-            first = std::min(first, after);
-            last = std::max(last, after);
+            const ReplicaQuery request = query(random);
+            const RetryAdvice advice(request);
+            const Milliseconds delay = isNone ? advice.whenNoneUsable() : advice.whenBusy(1, true);
+            BOOST_TEST(delay.count() >= 1'000);
+            BOOST_TEST(delay.count() <= 2'000);
+            minDelay = std::min(minDelay, delay);
+            maxDelay = std::max(maxDelay, delay);
         }
-        BOOST_TEST((last - first).count() > 900);
+        BOOST_TEST((maxDelay - minDelay).count() > 900);
     }
 }
 
 BOOST_AUTO_TEST_CASE(callers_without_a_deadline_get_the_fixed_delays)
 {
-    ReplicaQuery asked = query(0);
-    asked.timeLeft = Milliseconds(0);
-    BOOST_TEST(RetryAdvice(asked).whenNoneUsable().count() == 400);
-    BOOST_TEST(RetryAdvice(asked).whenBusy(1, true).count() < 400);
-    asked.engine = nullptr;
-    BOOST_TEST(RetryAdvice(asked).whenBusy(1, true).count() == 100);
+    ReplicaQuery request = query(0);
+    request.timeLeft = Milliseconds(0);
+    BOOST_TEST(RetryAdvice(request).whenNoneUsable().count() == 400);
+    BOOST_TEST(RetryAdvice(request).whenBusy(1, true).count() < 400);
+    request.engine = nullptr;
+    BOOST_TEST(RetryAdvice(request).whenBusy(1, true).count() == 100);
 }
 
 BOOST_AUTO_TEST_CASE(refusal_ratio_rises_with_many_refusals_and_decays)
@@ -90,7 +89,7 @@
         refusals.note(true, at(call * 20));
     }
     refusals.note(false, at(2'000));
-    BOOST_TEST(refusals.ratio(at(2'000)) < 0.05); // one is no rush
+    BOOST_TEST(refusals.ratio(at(2'000)) < 0.05); // a single refusal is no overload
     for (int call = 0; call < 20; ++call) {
         refusals.note(call % 2 == 0, at(2'000 + call * 20));
     }
--- a/tests/lockedout/test_lockedout.cpp
+++ b/tests/lockedout/test_lockedout.cpp
@@ -40,8 +40,8 @@
 
 } // namespace
 
-// A replica turned one request away while it held nothing. After its rest other gateways use it
-// again, and it is never idle: a quarter of its slots is taken at each report.
+// A replica refused a request of this gateway while it had no others. After its rest, other
+// gateways use it again, so that a quarter of its slots is in use at each report.
 BOOST_AUTO_TEST_CASE(gateway_returns_to_a_rested_replica_that_others_keep_busy)
 {
     const EngineFigures figures = engine();
