--- a/src/libloomjunction/core/answertimes.cpp
+++ b/src/libloomjunction/core/answertiming.cpp
@@ -1,27 +1,27 @@
 /*
- * answertimes.cpp
+ * answertiming.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "answertimes.h"
+#include "answertiming.h"
 
 #include <algorithm>
 
 namespace Loom {
 
-bool AnswerTimes::noteBegun(Instant now)
+bool AnswerTiming::noteStart(Instant now)
 {
-    if (mFirst) {
+    if (mTimeToFirstByte) {
         return false;
     }
-    mFirst = std::chrono::duration_cast<Milliseconds>(now - mArrived);
+    mTimeToFirstByte = std::chrono::duration_cast<Milliseconds>(now - mArrived);
     return true;
 }
 
-void AnswerTimes::noteEvents(Instant now)
+void AnswerTiming::noteEvents(Instant now)
 {
     if (mLastEventAt) {
         const auto pause = std::chrono::duration_cast<Milliseconds>(now - *mLastEventAt);
@@ -30,16 +30,16 @@
     mLastEventAt = now;
 }
 
-std::string_view AnswerTimes::latenessCause(const Route &route, std::uint32_t sends) const
+std::string_view AnswerTiming::latenessCause(const Route &route, std::uint32_t sends) const
 {
-    if (!mFirst || route.goal.count() == 0) {
+    if (!mTimeToFirstByte || route.goal.count() == 0) {
         return "";
     }
     if (mWaitedBefore > route.goal) {
         return "came back late";
     }
     const bool isRepeated = sends > 1;
-    if (mWaitedBefore + *mFirst > route.goal) {
+    if (mWaitedBefore + *mTimeToFirstByte > route.goal) {
         return isRepeated ? "sent again" : "first event";
     }
     const bool isPaused = route.pauseGoal.count() > 0 && mLongestPause > route.pauseGoal;
--- a/src/libloomjunction/core/callrate.cpp
+++ b/src/libloomjunction/core/callrate.cpp
@@ -16,34 +16,35 @@
 
 namespace {
 
-// How far back the rate of calls reaches.
-constexpr double sCallsHalfMs = 1'000;
-// A goal that fewer calls have does not bound the others.
-constexpr double sFairPart = 0.05;
+// Half-life of a call's weight in the rate.
+constexpr double sHalfLifeMs = 1'000;
+// A goal of a smaller fraction of the calls is ignored, so that rare calls with short
+// goals do not bound the capacity for all others.
+constexpr double sMinGoalFraction = 0.05;
 
 } // namespace
 
 void CallRate::note(Milliseconds goal, Instant now)
 {
-    const double kept = decayFactor(now - mAt, sCallsHalfMs);
-    mCount = mCount * kept + 1;
-    for (auto &[other, count] : mByGoal) {
-        count *= kept;
+    const double decay = decayFactor(now - mAt, sHalfLifeMs);
+    mCount = mCount * decay + 1;
+    for (auto &[other, count] : mCountByGoal) {
+        count *= decay;
     }
-    mByGoal[goal] += 1;
+    mCountByGoal[goal] += 1;
     mAt = now;
 }
 
 double CallRate::perMs(Instant now) const
 {
-    // A steady rate r adds up to r x half-life / ln 2.
-    return mCount * decayFactor(now - mAt, sCallsHalfMs) * std::numbers::ln2 / sCallsHalfMs;
+    // The decayed count of a steady rate r converges to r x half-life / ln 2.
+    return mCount * decayFactor(now - mAt, sHalfLifeMs) * std::numbers::ln2 / sHalfLifeMs;
 }
 
 Milliseconds CallRate::shortestGoal() const
 {
-    for (const auto &[goal, count] : mByGoal) {
-        if (goal.count() > 0 && count > mCount * sFairPart) {
+    for (const auto &[goal, count] : mCountByGoal) {
+        if (goal.count() > 0 && count > mCount * sMinGoalFraction) {
             return goal;
         }
     }
--- a/src/libloomjunction/core/enginemodel.cpp
+++ b/src/libloomjunction/core/enginemodel.cpp
@@ -14,61 +14,64 @@
 
 namespace {
 
-// A request comes somewhere within a pass, on average in its middle.
-constexpr double sMiddle = 0.5;
-constexpr double sPerThousand = 1'000;
+// Requests arrive in the middle of a pass on average.
+constexpr double sMeanPassFraction = 0.5;
+constexpr double sTokensPerK = 1'000;
 
 } // namespace
 
-double EngineModel::pass(double writers) const
+double EngineModel::passMs(double generating) const
 {
     const double context
-        = (mFigures.meanPromptTokens + mFigures.meanAnswerTokens / 2) / sPerThousand;
-    const double perWriter = mFigures.perSequenceMs + mFigures.contextMsPer1kTokens * context;
-    return mFigures.stepsPerPass * (mFigures.stepMs + writers * perWriter);
+        = (mFigures.meanPromptTokens + mFigures.meanAnswerTokens / 2) / sTokensPerK;
+    const double perRequest = mFigures.perSequenceMs + mFigures.contextMsPer1kTokens * context;
+    return mFigures.stepsPerPass * (mFigures.stepMs + generating * perRequest);
 }
 
-double EngineModel::steadyPass(double writers) const
+double EngineModel::steadyPassMs(double generating) const
 {
     const double events = mFigures.meanAnswerTokens / std::max(mFigures.stepsPerPass, 1U);
-    const double begun = events > 0 ? writers / events : 0;
-    return pass(writers) + begun * read(mFigures.meanPromptTokens);
+    const double startedPerPass = events > 0 ? generating / events : 0;
+    return passMs(generating) + startedPerPass * promptReadMs(mFigures.meanPromptTokens);
 }
 
-double EngineModel::read(double tokens) const
+double EngineModel::promptReadMs(double tokens) const
 {
     return mFigures.prefillTokensPerMs > 0 ? tokens / mFigures.prefillTokensPerMs : 0;
 }
 
-double EngineModel::turn() const
+double EngineModel::completionIntervalMs() const
 {
     if (mFigures.slots == 0 || mFigures.stepsPerPass == 0) {
         return 0;
     }
-    const double step = pass(mFigures.slots) / mFigures.stepsPerPass;
-    return read(mFigures.meanPromptTokens) + mFigures.meanAnswerTokens * step / mFigures.slots;
+    const double stepMs = passMs(mFigures.slots) / mFigures.stepsPerPass;
+    return promptReadMs(mFigures.meanPromptTokens)
+        + mFigures.meanAnswerTokens * stepMs / mFigures.slots;
 }
 
-double EngineModel::firstEvent(const EngineWork &work, double promptTokens) const
+double EngineModel::firstEventMs(const EngineLoad &load, double promptTokens) const
 {
     const double slots = std::max<std::uint32_t>(mFigures.slots, 1);
-    const double total = work.running + work.unread;
+    const double total = load.running + load.waitingPrompts;
     const double queued = std::max(0.0, total + 1 - slots);
-    // Only those that find a slot are read in the next pass.
-    const double readBefore = std::max(0.0, work.unread - queued);
+    // The next pass reads only the prompts of requests that find a free slot.
+    const double promptsBefore = std::max(0.0, load.waitingPrompts - queued);
     const double tokens = promptTokens > 0 ? promptTokens : mFigures.meanPromptTokens;
-    const double reading = readBefore * read(mFigures.meanPromptTokens) + read(tokens);
-    const double waiting = queued * turn();
-    const double passes = sMiddle * steadyPass(work.running) + pass(std::min(total + 1, slots));
-    return work.pace * (waiting + passes + reading);
+    const double reading
+        = promptsBefore * promptReadMs(mFigures.meanPromptTokens) + promptReadMs(tokens);
+    const double waiting = queued * completionIntervalMs();
+    const double passes
+        = sMeanPassFraction * steadyPassMs(load.running) + passMs(std::min(total + 1, slots));
+    return load.pace * (waiting + passes + reading);
 }
 
-double EngineModel::room(const EngineWork &work, double promptTokens, double limit) const
+double EngineModel::room(const EngineLoad &load, double promptTokens, double limit) const
 {
-    EngineWork with = work;
+    EngineLoad withMore = load;
     double room = 0;
-    while (room < mFigures.slots && firstEvent(with, promptTokens) <= limit) {
-        with.unread += 1;
+    while (room < mFigures.slots && firstEventMs(withMore, promptTokens) <= limit) {
+        withMore.waitingPrompts += 1;
         room += 1;
     }
     return room;
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -208,7 +208,7 @@
     query.dataCentre = mCall.parts.settings.dataCentre;
     query.goal = mCall.route->goal;
     query.promptTokens = mCall.caller.promptTokens;
-    query.entries = mCall.parts.members.gatewayCount();
+    query.gatewayCount = mCall.parts.members.gatewayCount();
     query.excluded = mExcludedReplicas;
     query.random = mRandom + mSendCount;
     query.waited
@@ -218,7 +218,7 @@
     if (mCall.service != nullptr && mCall.service->engine) {
         query.engine = &*mCall.service->engine;
         const WeightVersionTracker &weights = mCall.parts.config.weights();
-        query.leastVersion = weights.oldestAllowed(mCall.caller.model, now());
+        query.minVersion = weights.oldestAllowed(mCall.caller.model, now());
         query.weights = &weights;
         query.model = mCall.caller.model;
     }
@@ -234,7 +234,9 @@
 // A caller that retries before any replica accepts requests again would only be refused again.
 Milliseconds GatewayCall::retryDelayAfterRefusal() const
 {
-    return mCall.parts.replicas.replicas().heldFor(query(), now()).value_or(sRefusedRetryDelay);
+    return mCall.parts.replicas.replicas()
+        .retryDelayIfPaused(query(), now())
+        .value_or(sRefusedRetryDelay);
 }
 
 awaitable<void> GatewayCall::sendToReplicas()
@@ -253,7 +255,7 @@
         if (chosen == nullptr) {
             mStopReason = std::holds_alternative<AllBusy>(choice) ? "all busy" : "no replica";
             const auto *busy = std::get_if<AllBusy>(&choice);
-            if (busy != nullptr && (mExcludedReplicas.empty() || busy->isHeld)) {
+            if (busy != nullptr && (mExcludedReplicas.empty() || busy->areAllPaused)) {
                 last = {503, "all replicas are busy", busy->comeBack};
             }
             if (const auto *none = std::get_if<NoneUsable>(&choice);
@@ -677,7 +679,7 @@
 
 void GatewayCall::noteResponseStarted()
 {
-    if (mTimes.noteBegun(now())) {
+    if (mTimes.noteStart(now())) {
         mCall.parts.metrics.observe("first_answer_ms", mCall.serviceName,
                                     static_cast<double>(mTimes.first()->count()));
     }
@@ -712,9 +714,9 @@
     logOutcome(status, "unknown", reason);
 }
 
-std::string GatewayCall::heldByNotices() const
+std::string GatewayCall::pausedByNotices() const
 {
-    return mCall.parts.replicas.replicas().heldByNotices(mCall.serviceName, now());
+    return mCall.parts.replicas.replicas().pausedByNotices(mCall.serviceName, now());
 }
 
 void GatewayCall::logOutcome(int status, std::string_view outcome, std::string_view reason)
@@ -740,7 +742,7 @@
              {"sends", mSendCount},
              {"denied", mDeniedPermitCount},
              {"noMore", mStopReason},
-             {"held", outcome == "refused" ? heldByNotices() : std::string()},
+             {"held", outcome == "refused" ? pausedByNotices() : std::string()},
              {"events", mForwardedEventCount},
              {"replica", mLastChosen.id},
              {"request", mDigest.text()},
--- a/src/libloomjunction/gateway/gatewaycall.h
+++ b/src/libloomjunction/gateway/gatewaycall.h
@@ -8,7 +8,7 @@
 
 #pragma once
 
-#include "answertimes.h"
+#include "answertiming.h"
 #include "asynctypes.h"
 #include "bootclock.h"
 #include "callstate.h"
@@ -99,7 +99,7 @@
     void watchCallerAndDeadline();
     void cancelAttempts();
     void noteResponseStarted();
-    std::string heldByNotices() const;
+    std::string pausedByNotices() const;
     void logOutcome(int status, std::string_view outcome, std::string_view reason);
 
     CallState mCall;
@@ -127,7 +127,7 @@
 
     std::uint32_t mForwardedEventCount = 0; ///< events that were sent to the caller
     std::string_view mStopReason; ///< why no further attempt followed the last one
-    AnswerTimes mTimes;
+    AnswerTiming mTimes;
     ChosenReplica mLastChosen; ///< the replica of the last attempt
     RequestDigest mDigest; ///< computed on first use
     bool mWasPatient = false; ///< an attempt was expected to miss the latency goal
--- a/src/libloomjunction/gateway/ports.h
+++ b/src/libloomjunction/gateway/ports.h
@@ -11,8 +11,8 @@
 #include "feedtable.h"
 #include "http.h"
 #include "httplink.h"
-#include "lifenotices.h"
 #include "manifest.h"
+#include "noticestate.h"
 #include "replicaset.h"
 #include "routetable.h"
 
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -92,10 +92,10 @@
     }
     // The attempt has waited for a permit or a connection since the replica was chosen, so the
     // state of the replica may have changed.
-    const HeldBack held = mCall.parts.replicas.heldBack(mChosen.id);
+    const UnavailableReason held = mCall.parts.replicas.unavailableReason(mChosen.id);
     const Replica *still = mCall.parts.replicas.replicas().find(mChosen.id);
     const bool cannotServe
-        = held != HeldBack::Nothing || areWeightsExpired(still->weightsVersion());
+        = held != UnavailableReason::Nothing || areWeightsExpired(still->weightsVersion());
     // After a stall of the process, the event of a caller disconnect may still be queued in the
     // event loop.
     mCall.isCallerGone = mCall.isCallerGone || mCall.exchange.hasCallerLeft();
