--- a/tests/gateway/fleetgateway.h
+++ b/tests/gateway/fleetgateway.h
@@ -37,8 +37,8 @@
 
 private:
     DirectSettings mSettings;
-    Platform::Records mRecords;
-    Platform::Calls mCalls;
+    Platform::RecordDecoder mRecords;
+    Platform::HttpCallAdapter mCalls;
     Metrics mMetrics;
     Kernel mKernel;
 };
--- a/tests/gateway/gatewayfixture.h
+++ b/tests/gateway/gatewayfixture.h
@@ -9,17 +9,17 @@
 #pragma once
 
 #include "addressserver.h"
-#include "calls.h"
 #include "clock.h"
 #include "directconfig.h"
 #include "feedservice.h"
 #include "gatewayserver.h"
+#include "httpcalladapter.h"
 #include "memberservice.h"
 #include "metrics.h"
 #include "peerhub.h"
 #include "permitservice.h"
 #include "quarantineservice.h"
-#include "records.h"
+#include "recorddecoder.h"
 #include "replicaservice.h"
 
 #include <array>
@@ -257,8 +257,8 @@
     static DirectSettings settings();
 
     DirectSettings mSettings = settings();
-    Platform::Records mRecords;
-    Platform::Calls mCalls;
+    Platform::RecordDecoder mRecords;
+    Platform::HttpCallAdapter mCalls;
     Metrics mMetrics;
     Kernel mKernel{context.get_executor()};
     HttpClient mClient{context.get_executor()};
--- a/tests/gateway/stagingfixture.h
+++ b/tests/gateway/stagingfixture.h
@@ -142,7 +142,7 @@
     }
 
     DirectSettings mSettings;
-    Platform::Records mRecords;
+    Platform::RecordDecoder mRecords;
     Metrics mMetrics;
     Kernel mKernel;
 };
--- a/tests/gateway/test_feeds.cpp
+++ b/tests/gateway/test_feeds.cpp
@@ -86,7 +86,7 @@
     RecordWay way; ///< of the last operators' record
 
 private:
-    Platform::Records mRecords;
+    Platform::RecordDecoder mRecords;
     Kernel mKernel;
 };
 
--- a/tests/platform/test_calls.cpp
+++ b/tests/platform/test_calls.cpp
@@ -8,7 +8,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "calls.h"
+#include "httpcalladapter.h"
 
 using namespace Loom;
 
@@ -25,20 +25,20 @@
 
 std::string valueOf(const std::vector<HttpHeader> &headers, std::string_view name)
 {
-    std::string all;
+    std::string values;
     for (const HttpHeader &header : headers) {
         if (header.name == name) {
-            all += "[" + header.value + "]";
+            values += "[" + header.value + "]";
         }
     }
-    return all;
+    return values;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_only_the_system_may_set_is_taken_from_callers)
+BOOST_AUTO_TEST_CASE(headers_reserved_for_the_system_are_removed_from_requests)
 {
-    const Platform::Calls calls;
+    const Platform::HttpCallAdapter calls;
     const HttpRequest forged = request({{"Host", "h.example:80"},
                                         {"Loomjunction-Request-Id", "id1"},
                                         {"loomjunction-tenant", "somebody"},
@@ -72,9 +72,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_request_is_read_and_doubled_headers_count_as_none)
+BOOST_AUTO_TEST_CASE(request_fields_are_read_and_duplicate_headers_are_ignored)
 {
-    const Platform::Calls calls;
+    const Platform::HttpCallAdapter calls;
     const CallerFields fields = calls.callerFields(request({{"Host", "h.example:80"},
                                                             {"Loomjunction-Request-Id", "id1"},
                                                             {"Loomjunction-Deadline-Ms", "6000"},
@@ -89,18 +89,19 @@
     BOOST_TEST(*fields.lastEvent == 12U);
     BOOST_TEST(fields.promptTokens == 1460U);
     BOOST_TEST(fields.answerTokens == 80U);
-    const CallerFields doubled = calls.callerFields(request({{"Loomjunction-Request-Id", "id1"},
-                                                             {"loomjunction-request-id", "id2"},
-                                                             {"Loomjunction-Deadline-Ms", "soon"},
-                                                             {"Authorization", "Basic k1"}}));
-    BOOST_TEST(doubled.id.empty());
-    BOOST_TEST(doubled.key.empty());
-    BOOST_TEST(!doubled.deadline.has_value());
+    const CallerFields duplicated
+        = calls.callerFields(request({{"Loomjunction-Request-Id", "id1"},
+                                      {"loomjunction-request-id", "id2"},
+                                      {"Loomjunction-Deadline-Ms", "soon"},
+                                      {"Authorization", "Basic k1"}}));
+    BOOST_TEST(duplicated.id.empty());
+    BOOST_TEST(duplicated.key.empty());
+    BOOST_TEST(!duplicated.deadline.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(answers_name_the_rate_at_which_their_replica_takes_requests)
+BOOST_AUTO_TEST_CASE(rate_limit_of_a_replica_is_read_from_its_answers)
 {
-    const Platform::Calls calls;
+    const Platform::HttpCallAdapter calls;
     const auto rateOf = [&](std::vector<HttpHeader> headers) {
         LinkHead head;
         head.status = 200;
@@ -126,61 +127,65 @@
 
 namespace {
 
-ReplicaNotice noticeOf(int status, std::vector<HttpHeader> headers)
+ReplicaNotice readNotice(int status, std::vector<HttpHeader> headers)
 {
     LinkHead head;
     head.status = status;
     head.headers = std::move(headers);
-    return Platform::Calls().answerFields(head).notice;
+    return Platform::HttpCallAdapter().answerFields(head).notice;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(unreadable_words_of_leaving_are_believed)
+BOOST_AUTO_TEST_CASE(unreadable_leaving_headers_are_reported_and_ignored)
 {
-    BOOST_TEST(noticeOf(200, {{"server-leaving", "1"}}).isLeaving);
-    BOOST_TEST(noticeOf(503, {{"Server-Leaving", "1"}, {"Server-Leaving", "1"}}).isLeaving);
-    const ReplicaNotice stays = noticeOf(200, {{"Server-Leaving", "0"}});
-    BOOST_TEST(!stays.isLeaving);
-    BOOST_TEST(stays.unreadable.empty());
+    BOOST_TEST(readNotice(200, {{"server-leaving", "1"}}).isLeaving);
+    BOOST_TEST(readNotice(503, {{"Server-Leaving", "1"}, {"Server-Leaving", "1"}}).isLeaving);
+    const ReplicaNotice notLeaving = readNotice(200, {{"Server-Leaving", "0"}});
+    BOOST_TEST(!notLeaving.isLeaving);
+    BOOST_TEST(notLeaving.unreadable.empty());
     for (const std::string text : {"", "yes", "true", "2", "1 ", "01", "-1", "1,1"}) {
-        const ReplicaNotice notice = noticeOf(200, {{"Server-Leaving", text}});
+        const ReplicaNotice notice = readNotice(200, {{"Server-Leaving", text}});
         BOOST_TEST(!notice.isLeaving, text);
         BOOST_TEST((notice.unreadable == std::vector<std::string>{"Server-Leaving: " + text}),
                    text);
     }
-    const ReplicaNotice both = noticeOf(200, {{"Server-Leaving", "1"}, {"Server-Leaving", "0"}});
-    BOOST_TEST(!both.isLeaving);
-    BOOST_TEST(both.unreadable.size() == 1U);
+    const ReplicaNotice contradictory
+        = readNotice(200, {{"Server-Leaving", "1"}, {"Server-Leaving", "0"}});
+    BOOST_TEST(!contradictory.isLeaving);
+    BOOST_TEST(contradictory.unreadable.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(unreadable_times_of_rest_are_believed)
+BOOST_AUTO_TEST_CASE(unreadable_retry_after_headers_are_reported_and_ignored)
 {
-    const auto rest = [](std::string text) { return noticeOf(503, {{"retry-after", text}}).rest; };
+    const auto rest = [](std::string text) {
+        return readNotice(503, {{"retry-after", text}}).rest;
+    };
     BOOST_TEST((rest("3") == Microseconds(3'000'000)));
     BOOST_TEST((rest("0.25") == Microseconds(250'000)));
     BOOST_TEST((rest("0") == Microseconds(0)));
     BOOST_TEST((rest("31536000") == Microseconds(std::chrono::hours(365 * 24))));
     for (const std::string text : {"", "-1", "1e9", "nan", "inf", "3 s", "99999999999", "0x2",
                                    "Thu, 03 Dec 2026 10:00:00 GMT"}) {
-        const ReplicaNotice notice = noticeOf(503, {{"Retry-After", text}});
+        const ReplicaNotice notice = readNotice(503, {{"Retry-After", text}});
         BOOST_TEST(!notice.rest.has_value(), text);
         BOOST_TEST((notice.unreadable == std::vector<std::string>{"Retry-After: " + text}), text);
     }
-    const ReplicaNotice twice = noticeOf(503, {{"Retry-After", "1"}, {"Retry-After", "2"}});
-    BOOST_TEST((twice.rest == Microseconds(2'000'000)));
-    const ReplicaNotice one = noticeOf(503, {{"Retry-After", "soon"}, {"Retry-After", "2"}});
-    BOOST_TEST((one.rest == Microseconds(2'000'000)));
-    BOOST_TEST(one.unreadable.size() == 1U);
+    const ReplicaNotice repeated = readNotice(503, {{"Retry-After", "1"}, {"Retry-After", "2"}});
+    BOOST_TEST((repeated.rest == Microseconds(2'000'000)));
+    const ReplicaNotice partlyValid
+        = readNotice(503, {{"Retry-After", "soon"}, {"Retry-After", "2"}});
+    BOOST_TEST((partlyValid.rest == Microseconds(2'000'000)));
+    BOOST_TEST(partlyValid.unreadable.size() == 1U);
     // With another status it speaks of the request.
     for (const int status : {200, 421, 429, 500}) {
-        BOOST_TEST(!noticeOf(status, {{"Retry-After", "3"}}).rest.has_value());
+        BOOST_TEST(!readNotice(status, {{"Retry-After", "3"}}).rest.has_value());
     }
 }
 
-BOOST_AUTO_TEST_CASE(answers_say_whether_the_request_ran)
+BOOST_AUTO_TEST_CASE(execution_and_stream_fields_are_read_from_answers)
 {
-    const Platform::Calls calls;
+    const Platform::HttpCallAdapter calls;
     LinkHead head;
     head.status = 503;
     head.headers = {{"Loomjunction-Not-Executed", "1"}};
@@ -199,23 +204,23 @@
     BOOST_TEST(fields.isStream);
     BOOST_TEST(fields.isSigned);
     BOOST_TEST(fields.requestId == "id1");
-    const auto passed = calls.answerHeaders(head);
-    BOOST_TEST(valueOf(passed, "Loomjunction-Response-Signature") == "[s]");
-    BOOST_TEST(valueOf(passed, "Connection").empty());
-    BOOST_TEST(valueOf(passed, "Keep-Alive").empty());
+    const auto forwarded = calls.answerHeaders(head);
+    BOOST_TEST(valueOf(forwarded, "Loomjunction-Response-Signature") == "[s]");
+    BOOST_TEST(valueOf(forwarded, "Connection").empty());
+    BOOST_TEST(valueOf(forwarded, "Keep-Alive").empty());
 }
 
-BOOST_AUTO_TEST_CASE(questions_of_callers_and_the_platform)
+BOOST_AUTO_TEST_CASE(address_queries_and_ready_checks_are_recognised)
 {
-    const Platform::Calls calls;
-    HttpRequest question;
-    question.method = "GET";
-    question.target = "/resolve?name=h.example&region=r1&zone=z1";
-    BOOST_TEST(calls.addressQuestion(question)->dataCentre == "z1");
-    BOOST_TEST(!calls.isReadyCheck(question));
-    question.target = "/ready";
-    BOOST_TEST(calls.isReadyCheck(question));
-    BOOST_TEST(!calls.addressQuestion(question).has_value());
+    const Platform::HttpCallAdapter calls;
+    HttpRequest query;
+    query.method = "GET";
+    query.target = "/resolve?name=h.example&region=r1&zone=z1";
+    BOOST_TEST(calls.addressQuestion(query)->dataCentre == "z1");
+    BOOST_TEST(!calls.isReadyCheck(query));
+    query.target = "/ready";
+    BOOST_TEST(calls.isReadyCheck(query));
+    BOOST_TEST(!calls.addressQuestion(query).has_value());
     const std::vector<std::string> addresses{"10.1.0.40:8005"};
     const HttpResponse answer = calls.addressAnswer(addresses, Milliseconds(1'500));
     BOOST_TEST(answer.body.find(R"("addresses":["10.1.0.40:8005"])") != std::string::npos);
--- a/tests/platform/test_records.cpp
+++ b/tests/platform/test_records.cpp
@@ -9,9 +9,9 @@
 #define BOOST_TEST_MODULE platform
 #include <boost/test/unit_test.hpp>
 
-#include "engine.h"
-#include "records.h"
-#include "store.h"
+#include "engineclient.h"
+#include "recorddecoder.h"
+#include "storeclient.h"
 
 #include "asynctypes.h"
 
@@ -41,7 +41,7 @@
 
 RouteConfig readConfig(std::string_view text)
 {
-    const Platform::Records records;
+    const Platform::RecordDecoder records;
     auto record = records.operatorRecord("config", text);
     BOOST_REQUIRE(record.has_value());
     BOOST_REQUIRE(std::holds_alternative<RouteConfig>(*record));
@@ -50,7 +50,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_configuration_is_decoded_whole)
+BOOST_AUTO_TEST_CASE(all_fields_of_a_configuration_are_decoded)
 {
     const RouteConfig config = readConfig(sConfig);
     BOOST_TEST(config.version == 7U);
@@ -78,9 +78,9 @@
     BOOST_TEST(config.limits.idleTimeout.count() == 15000);
 }
 
-BOOST_AUTO_TEST_CASE(records_that_cannot_be_read_are_refused_by_field)
+BOOST_AUTO_TEST_CASE(errors_of_unreadable_records_name_the_field)
 {
-    const Platform::Records records;
+    const Platform::RecordDecoder records;
     const auto broken = records.operatorRecord("config", "{\"version\":");
     BOOST_TEST(!broken.has_value());
     BOOST_TEST(broken.error().find("version") != std::string::npos);
@@ -90,34 +90,34 @@
     BOOST_TEST(std::holds_alternative<UnrelatedRecord>(*other));
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_holds_weights_only_whole)
+BOOST_AUTO_TEST_CASE(weights_count_as_loaded_only_when_complete)
 {
-    const Platform::Records records;
+    const Platform::RecordDecoder records;
     const auto plain = records.replicaRecord(
         "i-1", R"({"service":"s","address":"1.2.3.4:5","zone":"z","version":"v1","slots":6,
                    "state":"draining","models":[]})");
     BOOST_TEST(plain->isDraining);
     BOOST_TEST(plain->weightsVersion == 0U); // "v1" is its software
-    const auto part = Platform::parseReport(
+    const auto partial = Platform::parseEngineReport(
         R"({"stage":"hybrid","models":[{"name":"m","version":2}],"busy":true,"sequence":3,
             "waiting":1,"running":2,"layers":[{"from":0,"target_version":8,"version":2}]})",
         16);
-    BOOST_TEST(!part->loaded.front().isWhole);
-    BOOST_TEST(part->isBusy);
-    BOOST_TEST(part->ordersTaken == 3U);
-    const auto whole = Platform::parseReport(
+    BOOST_TEST(!partial->loaded.front().isWhole);
+    BOOST_TEST(partial->isBusy);
+    BOOST_TEST(partial->ordersTaken == 3U);
+    const auto complete = Platform::parseEngineReport(
         R"({"models":[{"name":"m","version":2}],"running":2,"layers":[
             {"from":8,"target_version":16,"version":2},{"from":0,"target_version":8,"version":2}]})",
         16);
-    BOOST_TEST(whole->loaded.front().isWhole);
-    BOOST_TEST(!Platform::parseReport("{}", 16).has_value());
+    BOOST_TEST(complete->loaded.front().isWhole);
+    BOOST_TEST(!Platform::parseEngineReport("{}", 16).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_log_read_is_parsed_and_its_lengths_checked)
+BOOST_AUTO_TEST_CASE(log_read_parser_checks_record_lengths)
 {
     const std::string offsets(16, '\0');
-    const std::string kept = Platform::keyedRecord("config", std::string("{}"));
-    const std::string removed = Platform::keyedRecord("i-1", std::nullopt);
+    const std::string kept = Platform::encodeKeyedRecord("config", std::string("{}"));
+    const std::string removed = Platform::encodeKeyedRecord("i-1", std::nullopt);
     const auto batch = Platform::parseLogRead(offsets + kept + removed, 40);
     BOOST_REQUIRE(batch.has_value());
     BOOST_TEST(batch->next == 42U);
@@ -126,24 +126,25 @@
     BOOST_TEST(batch->records[0].offset == 40U);
     BOOST_TEST(!batch->records[1].value.has_value());
     BOOST_TEST(batch->records[1].offset == 41U);
-    const std::string whole = offsets + kept;
-    for (std::size_t size = 0; size < whole.size(); ++size) {
-        const auto cut = Platform::parseLogRead(std::string_view(whole).substr(0, size), 40);
-        BOOST_TEST((!cut || cut->records.empty()));
+    const std::string complete = offsets + kept;
+    for (std::size_t size = 0; size < complete.size(); ++size) {
+        const auto truncated
+            = Platform::parseLogRead(std::string_view(complete).substr(0, size), 40);
+        BOOST_TEST((!truncated || truncated->records.empty()));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_log_read_that_ends_before_the_log_has_more)
+BOOST_AUTO_TEST_CASE(log_read_that_ends_before_the_log_reports_more_records)
 {
     const std::string first(8, '\0');
-    const std::string record = Platform::keyedRecord("config", std::string("{}"));
+    const std::string record = Platform::encodeKeyedRecord("config", std::string("{}"));
     const std::string end = first.substr(1) + '\x2a'; // 42
     BOOST_TEST(!Platform::parseLogRead(end + first + record + record, 40)->hasMore);
     BOOST_TEST(Platform::parseLogRead(end + first + record, 40)->hasMore);
     BOOST_TEST(!Platform::parseLogRead(end + first, 42)->hasMore);
 }
 
-BOOST_AUTO_TEST_CASE(a_manifest_of_another_version_is_refused)
+BOOST_AUTO_TEST_CASE(manifest_of_another_version_is_rejected)
 {
     const std::string text = R"({"model":"m","version":2,"chunk_bytes":32768,"layers":16,)"
                              R"("digests":[")"
@@ -161,13 +162,13 @@
 
 namespace {
 
-constexpr std::string_view sReplica = R"({"service":"s","address":"1.2.3.4:5","zone":"z",
+constexpr std::string_view sReplicaRecord = R"({"service":"s","address":"1.2.3.4:5","zone":"z",
  "version":"v1","slots":12,"state":"ready","cold_left_ms":0,"stage":"hybrid",
  "models":[{"name":"m","version":2,"adapters":[]}],"sequence":4,"born":1700000000123})";
 
 std::string withField(std::string_view name, std::string_view value)
 {
-    boost::json::object object = boost::json::parse(sReplica).as_object();
+    boost::json::object object = boost::json::parse(sReplicaRecord).as_object();
     if (value.empty()) {
         object.erase(name);
     } else {
@@ -176,14 +177,14 @@
     return boost::json::serialize(object);
 }
 
-struct BadField
+struct InvalidField
 {
     std::string_view name;
     std::string_view value; ///< empty: the field is missing
 };
 
 // Whatever another writer may put in the place of what a replica says.
-constexpr BadField sBadFields[] = {
+constexpr InvalidField sInvalidFields[] = {
     {"service", ""},
     {"service", "7"},
     {"service", R"("")"},
@@ -224,31 +225,31 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_replica_tells_when_it_started)
+BOOST_AUTO_TEST_CASE(start_time_of_a_replica_is_read)
 {
-    const Platform::Records records;
-    const auto record = records.replicaRecord("i-1", sReplica);
+    const Platform::RecordDecoder records;
+    const auto record = records.replicaRecord("i-1", sReplicaRecord);
     BOOST_REQUIRE(record.has_value());
     BOOST_TEST(record->born == 1700000000123U);
     BOOST_TEST(record->slots == 12U);
     BOOST_TEST(record->weightsVersion == 2U);
-    const auto untold = records.replicaRecord("i-1", withField("born", ""));
-    BOOST_REQUIRE(untold.has_value());
-    BOOST_TEST(untold->born == 0U);
-    const auto report = Platform::parseReport(R"({"running":1,"born":1700000000123})", 16);
+    const auto withoutStartTime = records.replicaRecord("i-1", withField("born", ""));
+    BOOST_REQUIRE(withoutStartTime.has_value());
+    BOOST_TEST(withoutStartTime->born == 0U);
+    const auto report = Platform::parseEngineReport(R"({"running":1,"born":1700000000123})", 16);
     BOOST_REQUIRE(report.has_value());
     BOOST_TEST(report->born == 1700000000123U);
 }
 
-BOOST_AUTO_TEST_CASE(a_replicas_entry_of_another_writer_names_nobody)
+BOOST_AUTO_TEST_CASE(malformed_replica_records_are_rejected)
 {
-    const Platform::Records records;
-    for (const BadField &bad : sBadFields) {
-        const auto record = records.replicaRecord("i-1", withField(bad.name, bad.value));
-        BOOST_TEST_CONTEXT(bad.name << " is " << bad.value)
+    const Platform::RecordDecoder records;
+    for (const InvalidField &invalid : sInvalidFields) {
+        const auto record = records.replicaRecord("i-1", withField(invalid.name, invalid.value));
+        BOOST_TEST_CONTEXT(invalid.name << " is " << invalid.value)
         {
             BOOST_REQUIRE(!record.has_value());
-            BOOST_TEST(record.error().find(bad.name) != std::string::npos);
+            BOOST_TEST(record.error().find(invalid.name) != std::string::npos);
         }
     }
     BOOST_TEST(!records.replicaRecord("i-1", "").has_value());
@@ -257,9 +258,9 @@
     BOOST_TEST(!records.replicaRecord("i-1", R"({"slots":NaN})").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(numbers_that_are_none_do_no_harm_in_a_report)
+BOOST_AUTO_TEST_CASE(invalid_numbers_in_an_engine_report_are_bounded)
 {
-    const auto report = Platform::parseReport(
+    const auto report = Platform::parseEngineReport(
         R"({"running":-1,"waiting":1e300,"pace":-3,"kv_used":-7,"kv_total":1.5,"sequence":-2,
             "born":"x","models":[{"name":"m","version":-1},{"name":4,"version":1}],"busy":"no"})",
         16);
@@ -273,36 +274,36 @@
     for (const LoadedWeights &loaded : report->loaded) {
         BOOST_TEST(!(loaded.isWhole && loaded.version > 1));
     }
-    BOOST_TEST(Platform::parseReport(R"({"running":1,"pace":1e300})", 16)->pace < 1e6);
+    BOOST_TEST(Platform::parseEngineReport(R"({"running":1,"pace":1e300})", 16)->pace < 1e6);
 }
 
 // Bytes that are changed, left out or doubled at random end no reader, and whatever it
 // still takes has fields within their bounds.
-BOOST_AUTO_TEST_CASE(mutated_entries_are_read_or_refused)
+BOOST_AUTO_TEST_CASE(mutated_records_are_decoded_or_rejected)
 {
-    constexpr int mutations = 20'000;
-    const Platform::Records records;
+    constexpr int mutationCount = 20'000;
+    const Platform::RecordDecoder records;
     std::mt19937 random(1);
     const std::vector<std::string> texts{
-        std::string(sReplica), std::string(sConfig), R"({"model":"m","version":2})",
+        std::string(sReplicaRecord), std::string(sConfig), R"({"model":"m","version":2})",
         R"({"model":"m","version":2,"chunk_bytes":32768,"layers":16,"digests":["aa","bb"]})"};
     const auto pick = [&](std::size_t count) { return random() % count; };
-    for (int round = 0; round < mutations; ++round) {
+    for (int round = 0; round < mutationCount; ++round) {
         std::string text = texts[pick(texts.size())];
         for (std::size_t change = 1 + pick(4); change > 0 && !text.empty(); --change) {
-            const std::size_t place = pick(text.size());
+            const std::size_t position = pick(text.size());
             switch (pick(4)) {
             case 0:
-                text[place] = static_cast<char>(random());
+                text[position] = static_cast<char>(random());
                 break;
             case 1:
-                text.erase(place, 1 + pick(8));
+                text.erase(position, 1 + pick(8));
                 break;
             case 2:
-                text.insert(place, text.substr(pick(text.size()), pick(24)));
+                text.insert(position, text.substr(pick(text.size()), pick(24)));
                 break;
             default:
-                text.insert(place, "9e99");
+                text.insert(position, "9e99");
             }
         }
         const auto replica = records.replicaRecord("i-1", text);
@@ -313,7 +314,7 @@
         }
         records.operatorRecord("config", text);
         records.operatorRecord("version/m", text);
-        Platform::parseReport(text, 16);
+        Platform::parseEngineReport(text, 16);
         Platform::parseManifest(text, "m", 2);
     }
 }
--- a/tests/platform/test_store.cpp
+++ b/tests/platform/test_store.cpp
@@ -9,7 +9,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "asynctypes.h"
-#include "store.h"
+#include "storeclient.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -21,23 +21,23 @@
 
 namespace {
 
-constexpr std::size_t sPieces = 10;
+constexpr std::size_t sPieceCount = 10;
 
 /** A store behind a full link: its answer begins late, or comes in pieces with pauses. */
 class SlowStore
 {
 public:
-    SlowStore(asio::io_context &context, std::chrono::milliseconds beforeAnswer,
-              std::chrono::milliseconds beforePiece)
+    SlowStore(asio::io_context &context, std::chrono::milliseconds answerDelay,
+              std::chrono::milliseconds pieceDelay)
         : mAcceptor(context, Tcp::endpoint(asio::ip::address_v4::loopback(), 0))
-        , mBeforeAnswer(beforeAnswer)
-        , mBeforePiece(beforePiece)
+        , mAnswerDelay(answerDelay)
+        , mPieceDelay(pieceDelay)
     {
         asio::co_spawn(context, acceptAll(), asio::detached);
     }
 
     Tcp::endpoint address() const { return mAcceptor.local_endpoint(); }
-    int requests() const { return mRequests; }
+    int requestCount() const { return mRequestCount; }
     void stop() { mAcceptor.close(); }
 
 private:
@@ -55,20 +55,20 @@
     awaitable<void> serve(Tcp::socket socket)
     {
         const std::string answer = answerText();
-        const std::string blank = "\r\n\r\n";
+        const std::string headerEnd = "\r\n\r\n";
         std::string head;
         while (true) {
             auto [error, size] = co_await asio::async_read_until(socket, asio::dynamic_buffer(head),
-                                                                 blank, sAsValue);
+                                                                 headerEnd, sAsValue);
             if (error) {
                 co_return;
             }
             head.erase(0, size);
-            ++mRequests;
-            co_await sleepFor(mBeforeAnswer);
-            const std::size_t step = answer.size() / sPieces + 1;
+            ++mRequestCount;
+            co_await sleepFor(mAnswerDelay);
+            const std::size_t step = answer.size() / sPieceCount + 1;
             for (std::size_t at = 0; at < answer.size(); at += step) {
-                co_await sleepFor(mBeforePiece);
+                co_await sleepFor(mPieceDelay);
                 const std::string_view piece = std::string_view(answer).substr(at, step);
                 const auto [failure, sent]
                     = co_await asio::async_write(socket, asio::buffer(piece), sAsValue);
@@ -89,29 +89,29 @@
     }
 
     Tcp::acceptor mAcceptor;
-    std::chrono::milliseconds mBeforeAnswer;
-    std::chrono::milliseconds mBeforePiece;
-    int mRequests = 0;
+    std::chrono::milliseconds mAnswerDelay;
+    std::chrono::milliseconds mPieceDelay;
+    int mRequestCount = 0;
 };
 
 /** Reads all of one feed, up to @p tries times; the tries that it took, 0 where none succeeded. */
-int triesUntilRead(SlowStore &server, asio::io_context &context, int tries)
+int attemptsUntilRead(SlowStore &server, asio::io_context &context, int maxAttempts)
 {
-    int taken = 0;
+    int attemptsTaken = 0;
     const auto run = [&]() -> awaitable<void> {
-        Platform::Store store(context.get_executor(), server.address());
-        for (int attempt = 1; attempt <= tries && taken == 0; ++attempt) {
+        Platform::StoreClient store(context.get_executor(), server.address());
+        for (int attempt = 1; attempt <= maxAttempts && attemptsTaken == 0; ++attempt) {
             const auto batch = co_await store.newest(Feed::Operators);
             if (batch) {
                 BOOST_TEST(batch->records.size() == 1U);
-                taken = attempt;
+                attemptsTaken = attempt;
             }
         }
         server.stop();
     };
     asio::co_spawn(context, run(), asio::detached);
     context.run();
-    return taken;
+    return attemptsTaken;
 }
 
 } // namespace
@@ -121,18 +121,18 @@
 // Each read was given up 1.5 s after its question, though its bytes were arriving, and
 // was asked for again. The bytes that nobody waited for any more kept the link full, and
 // callers' requests waited behind them for 1.35 s.
-BOOST_AUTO_TEST_CASE(a_full_read_that_is_arriving_is_not_given_up)
+BOOST_AUTO_TEST_CASE(full_read_in_progress_is_not_aborted)
 {
     asio::io_context context;
     SlowStore server(context, std::chrono::milliseconds(0), std::chrono::milliseconds(250));
-    BOOST_TEST(triesUntilRead(server, context, 1) == 1);
+    BOOST_TEST(attemptsUntilRead(server, context, 1) == 1);
 }
 
 // The first byte of such a read may itself lie behind 1.5 s of other bytes. Asking again
 // in the same way adds to them and never succeeds.
-BOOST_AUTO_TEST_CASE(a_full_read_that_was_given_up_is_waited_for_longer_the_next_time)
+BOOST_AUTO_TEST_CASE(timeout_of_a_full_read_grows_after_a_timeout)
 {
     asio::io_context context;
     SlowStore server(context, std::chrono::milliseconds(2'200), std::chrono::milliseconds(0));
-    BOOST_TEST(triesUntilRead(server, context, 4) > 1);
+    BOOST_TEST(attemptsUntilRead(server, context, 4) > 1);
 }
