--- a/tests/platform/test_calls.cpp
+++ b/tests/platform/test_calls.cpp
@@ -158,13 +158,13 @@
 
 BOOST_AUTO_TEST_CASE(unreadable_retry_after_headers_are_reported_and_ignored)
 {
-    const auto rest = [](std::string text) {
+    const auto retryDelay = [](std::string text) {
         return readNotice(503, {{"retry-after", text}}).rest;
     };
-    BOOST_TEST((rest("3") == Microseconds(3'000'000)));
-    BOOST_TEST((rest("0.25") == Microseconds(250'000)));
-    BOOST_TEST((rest("0") == Microseconds(0)));
-    BOOST_TEST((rest("31536000") == Microseconds(std::chrono::hours(365 * 24))));
+    BOOST_TEST((retryDelay("3") == Microseconds(3'000'000)));
+    BOOST_TEST((retryDelay("0.25") == Microseconds(250'000)));
+    BOOST_TEST((retryDelay("0") == Microseconds(0)));
+    BOOST_TEST((retryDelay("31536000") == Microseconds(std::chrono::hours(365 * 24))));
     for (const std::string text : {"", "-1", "1e9", "nan", "inf", "3 s", "99999999999", "0x2",
                                    "Thu, 03 Dec 2026 10:00:00 GMT"}) {
         const ReplicaNotice notice = readNotice(503, {{"Retry-After", text}});
@@ -177,7 +177,7 @@
         = readNotice(503, {{"Retry-After", "soon"}, {"Retry-After", "2"}});
     BOOST_TEST((partlyValid.rest == Microseconds(2'000'000)));
     BOOST_TEST(partlyValid.unreadable.size() == 1U);
-    // With another status it speaks of the request.
+    // With any other status the header concerns the request, not the replica.
     for (const int status : {200, 421, 429, 500}) {
         BOOST_TEST(!readNotice(status, {{"Retry-After", "3"}}).rest.has_value());
     }
--- a/tests/platform/test_records.cpp
+++ b/tests/platform/test_records.cpp
@@ -97,7 +97,7 @@
         "i-1", R"({"service":"s","address":"1.2.3.4:5","zone":"z","version":"v1","slots":6,
                    "state":"draining","models":[]})");
     BOOST_TEST(plain->isDraining);
-    BOOST_TEST(plain->weightsVersion == 0U); // "v1" is its software
+    BOOST_TEST(plain->weightsVersion == 0U); // "v1" is the version of its software
     const auto partial = Platform::parseEngineReport(
         R"({"stage":"hybrid","models":[{"name":"m","version":2}],"busy":true,"sequence":3,
             "waiting":1,"running":2,"layers":[{"from":0,"target_version":8,"version":2}]})",
@@ -152,7 +152,7 @@
     const auto manifest = Platform::parseManifest(text, "m", 2);
     BOOST_REQUIRE(manifest.has_value());
     BOOST_TEST(manifest->chunkCount() == 2U);
-    // Two agents that ask for themselves must come to the same text.
+    // Two agents that fetch the manifest independently must produce the same text.
     const auto again = Manifest::parse(manifest->text());
     BOOST_REQUIRE(again.has_value());
     BOOST_TEST(again->text() == manifest->text());
@@ -180,10 +180,10 @@
 struct InvalidField
 {
     std::string_view name;
-    std::string_view value; ///< empty: the field is missing
+    std::string_view value; ///< empty if the field is missing
 };
 
-// Whatever another writer may put in the place of what a replica says.
+// Values that another process may write into the record of a replica.
 constexpr InvalidField sInvalidFields[] = {
     {"service", ""},
     {"service", "7"},
@@ -277,8 +277,8 @@
     BOOST_TEST(Platform::parseEngineReport(R"({"running":1,"pace":1e300})", 16)->pace < 1e6);
 }
 
-// Bytes that are changed, left out or doubled at random end no reader, and whatever it
-// still takes has fields within their bounds.
+// Bytes that are changed, removed or duplicated at random must not crash a decoder, and the
+// fields of every accepted record must be within their bounds.
 BOOST_AUTO_TEST_CASE(mutated_records_are_decoded_or_rejected)
 {
     constexpr int mutationCount = 20'000;
--- a/tests/platform/test_store.cpp
+++ b/tests/platform/test_store.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::size_t sPieceCount = 10;
 
-/** A store behind a full link: its answer begins late, or comes in pieces with pauses. */
+/** Store behind a saturated link: its answer starts late, or arrives in pieces with pauses. */
 class SlowStore
 {
 public:
@@ -79,7 +79,7 @@
         }
     }
 
-    // One record "config" with the value "routes" in base64.
+    // Returns one record with the key "config" and the value "routes", encoded as base64.
     static std::string answerText()
     {
         const std::string body
@@ -94,7 +94,10 @@
     int mRequestCount = 0;
 };
 
-/** Reads all of one feed, up to @p tries times; the tries that it took, 0 where none succeeded. */
+/**
+ * Reads a whole feed, with up to @p maxAttempts attempts. Returns the number of attempts that
+ * it took; 0 if all failed.
+ */
 int attemptsUntilRead(SlowStore &server, asio::io_context &context, int maxAttempts)
 {
     int attemptsTaken = 0;
@@ -116,11 +119,11 @@
 
 } // namespace
 
-// After a loss of power ten gateways of one data centre read a configuration of 417 KB
-// from a store in another, over a link of 27 Mbit/s: 4.2 MB, which take 1.2 s and more.
-// Each read was given up 1.5 s after its question, though its bytes were arriving, and
-// was asked for again. The bytes that nobody waited for any more kept the link full, and
-// callers' requests waited behind them for 1.35 s.
+// Guards against aborting a read whose bytes are arriving. After a power failure ten gateways
+// in one data centre read a configuration of 417 KB from a store in another over a link of
+// 27 Mbit/s: 4.2 MB, which take at least 1.2 s. Each read was aborted 1.5 s after its request
+// and repeated. The bytes of the aborted reads kept the link saturated, which delayed
+// requests of callers by 1.35 s.
 BOOST_AUTO_TEST_CASE(full_read_in_progress_is_not_aborted)
 {
     asio::io_context context;
@@ -128,8 +131,9 @@
     BOOST_TEST(attemptsUntilRead(server, context, 1) == 1);
 }
 
-// The first byte of such a read may itself lie behind 1.5 s of other bytes. Asking again
-// in the same way adds to them and never succeeds.
+// Guards against repeating a read that can't succeed. Over a saturated link the first byte
+// may itself arrive after the timeout of 1.5 s. Repeating the read with the same timeout adds
+// to the load and never succeeds.
 BOOST_AUTO_TEST_CASE(timeout_of_a_full_read_grows_after_a_timeout)
 {
     asio::io_context context;
--- a/tests/platform/test_storebytes.cpp
+++ b/tests/platform/test_storebytes.cpp
@@ -17,7 +17,7 @@
 
 using namespace Loom;
 
-// One feed's answers: two pages of a full read, and one read onward.
+// The server answers a full read of a feed with two pages, and a log read with one record.
 BOOST_AUTO_TEST_CASE(batch_counts_the_bytes_of_its_answers)
 {
     const std::string firstPage
