--- a/src/libloomjunction/gateway/addressserver.cpp
+++ b/src/libloomjunction/gateway/addressserver.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-AddressServer::AddressServer(CallPort &calls, const DirectSettings &settings)
+AddressServer::AddressServer(CallPort &calls, const MemberSettings &settings)
     : mCalls(calls)
     , mSettings(settings)
 {
@@ -73,16 +73,15 @@
 
 HttpResponse AddressServer::resolveAddresses(const AddressQuestion &question) const
 {
-    std::vector<GatewayAddress> places = mMembers->addressPlaces();
+    std::vector<GatewayAddress> places = mMembers->otherGateways();
     places.push_back(ownAddress());
-    const AddressSelector choice(mMembers->key(), places, mSettings.losses);
+    const AddressSelector choice(mMembers->key(), places, mSettings.failureTolerance);
     const std::vector<std::string> addresses
         = choice.choose({question.dataCentre, question.region});
     if (addresses.empty()) {
         return errorResponse(503, "no gateway is ready");
     }
-    return mCalls.addressAnswer(addresses,
-                                std::min(sAddressLifetime, mSettings.bounds.addressLifetime));
+    return mCalls.addressAnswer(addresses, std::min(sAddressLifetime, mSettings.bounds.addressTtl));
 }
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/addressserver.h
+++ b/src/libloomjunction/gateway/addressserver.h
@@ -9,8 +9,8 @@
 #pragma once
 
 #include "addressselector.h"
-#include "directsettings.h"
 #include "kernel.h"
+#include "membersettings.h"
 #include "ports.h"
 
 #include <memory>
@@ -26,7 +26,7 @@
 public:
     static constexpr std::string_view sName = "address-front";
 
-    AddressServer(CallPort &calls, const DirectSettings &settings);
+    AddressServer(CallPort &calls, const MemberSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -41,7 +41,7 @@
     HttpResponse resolveAddresses(const AddressQuestion &question) const;
 
     CallPort &mCalls;
-    const DirectSettings &mSettings;
+    const MemberSettings &mSettings;
     GatewayServer *mGateway = nullptr;
     MemberService *mMembers = nullptr;
     std::unique_ptr<HttpServer> mAddressServer;
--- a/src/libloomjunction/gateway/callstate.h
+++ b/src/libloomjunction/gateway/callstate.h
@@ -9,8 +9,8 @@
 #pragma once
 
 #include "clock.h"
-#include "directsettings.h"
 #include "http.h"
+#include "membersettings.h"
 #include "ports.h"
 #include "routetable.h"
 
@@ -20,7 +20,7 @@
 
 namespace Loom {
 
-class DirectConfig;
+class OperatorConfigService;
 class MemberService;
 class Metrics;
 class QuarantineService;
@@ -29,9 +29,9 @@
 /** The settings and services that all calls of one gateway share. */
 struct CallParts
 {
-    const DirectSettings &settings;
+    const MemberSettings &settings;
     CallPort &calls;
-    DirectConfig &config;
+    OperatorConfigService &config;
     ReplicaService &replicas;
     QuarantineService &quarantine;
     MemberService &members;
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -9,10 +9,10 @@
 #include "gatewaycall.h"
 
 #include "clock.h"
-#include "directconfig.h"
 #include "jsonlog.h"
 #include "memberservice.h"
 #include "metrics.h"
+#include "operatorconfigservice.h"
 #include "replicaservice.h"
 
 #include <algorithm>
--- a/src/libloomjunction/gateway/gatewayserver.cpp
+++ b/src/libloomjunction/gateway/gatewayserver.cpp
@@ -9,12 +9,12 @@
 #include "gatewayserver.h"
 
 #include "clock.h"
-#include "directconfig.h"
 #include "feedservice.h"
 #include "gatewaycall.h"
 #include "jsonlog.h"
 #include "memberservice.h"
 #include "metrics.h"
+#include "operatorconfigservice.h"
 #include "quarantineservice.h"
 #include "replicaservice.h"
 
@@ -40,7 +40,7 @@
 
 } // namespace
 
-GatewayServer::GatewayServer(CallPort &calls, Metrics &metrics, const DirectSettings &settings)
+GatewayServer::GatewayServer(CallPort &calls, Metrics &metrics, const MemberSettings &settings)
     : mCalls(calls)
     , mMetrics(metrics)
     , mSettings(settings)
@@ -49,7 +49,7 @@
 
 tl::expected<void, std::string> GatewayServer::start(Kernel &kernel)
 {
-    mConfig = &kernel.find<DirectConfig>(DirectConfig::sName);
+    mConfig = &kernel.find<OperatorConfigService>(OperatorConfigService::sName);
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mReplicas = &kernel.find<ReplicaService>(ReplicaService::sName);
@@ -123,7 +123,7 @@
     mMembers->noteChange();
     asio::co_spawn(co_await asio::this_coro::executor, mMembers->leave(), asio::detached);
     const auto startedAt = BootClock::now();
-    const auto stopAt = startedAt + mSettings.bounds.stopTime - sKillMargin;
+    const auto stopAt = startedAt + mSettings.bounds.shutdownTimeout - sKillMargin;
     mRefusesFrom = stopAt - sMaxRequestTime;
     while (BootClock::now() < stopAt) {
         const auto currentTime = BootClock::now();
--- a/src/libloomjunction/gateway/gatewayserver.h
+++ b/src/libloomjunction/gateway/gatewayserver.h
@@ -8,16 +8,16 @@
 
 #pragma once
 
-#include "directsettings.h"
 #include "http.h"
 #include "kernel.h"
+#include "membersettings.h"
 #include "ports.h"
 
 #include <memory>
 
 namespace Loom {
 
-class DirectConfig;
+class OperatorConfigService;
 class FeedService;
 class MemberService;
 class Metrics;
@@ -30,7 +30,7 @@
 public:
     static constexpr std::string_view sName = "gateway-front";
 
-    GatewayServer(CallPort &calls, Metrics &metrics, const DirectSettings &settings);
+    GatewayServer(CallPort &calls, Metrics &metrics, const MemberSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -53,8 +53,8 @@
 
     CallPort &mCalls;
     Metrics &mMetrics;
-    const DirectSettings &mSettings;
-    DirectConfig *mConfig = nullptr;
+    const MemberSettings &mSettings;
+    OperatorConfigService *mConfig = nullptr;
     FeedService *mFeeds = nullptr;
     MemberService *mMembers = nullptr;
     ReplicaService *mReplicas = nullptr;
--- a/src/libloomjunction/gateway/loadasker.cpp
+++ b/src/libloomjunction/gateway/loadasker.cpp
@@ -187,7 +187,7 @@
 
 awaitable<void> LoadAsker::connect(std::string address)
 {
-    const auto agent = mMembers.agentOf(address);
+    const auto agent = mMembers.agentFor(address);
     PeerStreamPtr stream;
     if (agent) {
         stream = co_await mHub.open(*agent, std::string(sLoadPath));
--- a/src/libloomjunction/gateway/manifestexchange.cpp
+++ b/src/libloomjunction/gateway/manifestexchange.cpp
@@ -105,7 +105,7 @@
 // would find.
 std::vector<Member> ManifestExchange::sampleStagers() const
 {
-    const std::vector<Member> all = mParts.members.stagersOf(mParts.service);
+    const std::vector<Member> all = mParts.members.stagersForService(mParts.service);
     std::vector<Member> sample;
     static std::mt19937_64 random{randomSeed()};
     std::ranges::sample(all, std::back_inserter(sample), sSampleSize, random);
@@ -115,7 +115,7 @@
 std::vector<Member> ManifestExchange::originReaders(const std::string &model,
                                                     std::uint64_t version) const
 {
-    std::vector<Member> all = mParts.members.stagersOf(mParts.service);
+    std::vector<Member> all = mParts.members.stagersForService(mParts.service);
     Member self;
     self.box = mParts.settings.box;
     self.dataCentre = mParts.settings.dataCentre;
--- a/src/libloomjunction/gateway/manifestexchange.h
+++ b/src/libloomjunction/gateway/manifestexchange.h
@@ -8,8 +8,8 @@
 
 #pragma once
 
-#include "directsettings.h"
 #include "memberservice.h"
+#include "membersettings.h"
 #include "ports.h"
 
 #include <functional>
@@ -40,7 +40,7 @@
         EnginePort &engine;
         MemberService &members;
         PeerHub &hub;
-        const DirectSettings &settings;
+        const MemberSettings &settings;
         std::string service;
         std::function<std::optional<Tcp::endpoint>()> origin;
         /** Returns the text of a local manifest; null if there is none. */
--- a/src/libloomjunction/gateway/memberservice.cpp
+++ b/src/libloomjunction/gateway/memberservice.cpp
@@ -25,23 +25,23 @@
 namespace {
 
 constexpr std::string_view sStatusPath = "/gateway-status";
-constexpr Milliseconds sStatusEvery{400};
+constexpr Milliseconds sStatusInterval{400};
 // Three states missed: dead, cut off, or standing still.
-constexpr Milliseconds sStatusSilence{1'300};
-constexpr std::chrono::milliseconds sRedialPause{300};
-constexpr std::chrono::milliseconds sRecordRetry{400};
-constexpr std::chrono::milliseconds sScanEvery{200};
+constexpr Milliseconds sStatusTimeout{1'300};
+constexpr std::chrono::milliseconds sReconnectDelay{300};
+constexpr std::chrono::milliseconds sRecordRetryDelay{400};
+constexpr std::chrono::milliseconds sFollowCheckInterval{200};
 // A gateway that was not heard for longer than a retry window spends nothing of it.
-constexpr Milliseconds sMayBeAlive{15'000};
+constexpr Milliseconds sPresumedAliveTimeout{15'000};
 // Longer than a restart takes, so that only boxes that stay away are forgotten.
-constexpr Milliseconds sForgetAfter{5'000};
-constexpr Milliseconds sForgetTurn{500};
-constexpr std::uint64_t sForgetTurns = 8;
-constexpr std::chrono::milliseconds sForgetEvery{500};
+constexpr Milliseconds sRemovalTimeout{5'000};
+constexpr Milliseconds sRemovalStagger{500};
+constexpr std::uint64_t sRemovalSlotCount = 8;
+constexpr std::chrono::milliseconds sRemovalCheckInterval{500};
 // So few gateways read the store for themselves.
-constexpr std::size_t sLeastRelayed = 6;
+constexpr std::size_t sMinRelayingGateways = 6;
 // Whom a gateway that begins waits for: the next in turn, if the first is gone.
-constexpr std::size_t sMostEarlier = 2;
+constexpr std::size_t sMaxEarlierReaders = 2;
 constexpr std::string_view sGatewayRole = "gateway";
 constexpr std::string_view sStagerRole = "stager";
 
@@ -67,13 +67,13 @@
 
 } // namespace
 
-MemberService::MemberService(StorePort &store, const DirectSettings &settings,
+MemberService::MemberService(StorePort &store, const MemberSettings &settings,
                              std::uint64_t incarnation)
     : mStore(store)
     , mSettings(settings)
     , mKey(endpointText(settings.peers))
     , mIncarnation(incarnation)
-    , mSilence(settings.dataCentre, sStatusSilence)
+    , mFailureDetector(settings.dataCentre, sStatusTimeout)
 {
 }
 
@@ -81,17 +81,17 @@
 {
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mHub = &kernel.find<PeerHub>(PeerHub::sName);
-    mChanged = std::make_unique<Signal>(kernel.executor());
-    mFeeds->listen(Feed::Members, [this](const FeedChange &change) { take(change); });
-    mFeeds->setPeers([this] { return gatewayAddresses(); });
-    mHub->setPlaces([this](const Tcp::endpoint &remote) { return placeOf(remote); });
-    asio::co_spawn(kernel.executor(), keepRecord(), asio::detached);
+    mStatusChanged = std::make_unique<Signal>(kernel.executor());
+    mFeeds->listen(Feed::Members, [this](const FeedChange &change) { applyRecord(change); });
+    mFeeds->setPeers([this] { return gatewayPeerAddresses(); });
+    mHub->setPeerLocator([this](const Tcp::endpoint &remote) { return locationOf(remote); });
+    asio::co_spawn(kernel.executor(), publishRecord(), asio::detached);
     if (mSettings.isGateway()) {
-        mFeeds->setReaders([this] { return feedReaders(); });
+        mFeeds->setReaders([this] { return selectFeedReaders(); });
         mHub->serve(std::string(sStatusPath),
                     [this](PeerStreamPtr stream) { return serveStatus(std::move(stream)); });
         asio::co_spawn(kernel.executor(), followGateways(), asio::detached);
-        asio::co_spawn(kernel.executor(), forgetSilent(), asio::detached);
+        asio::co_spawn(kernel.executor(), removeSilentMembers(), asio::detached);
     }
     return {};
 }
@@ -99,10 +99,10 @@
 void MemberService::stop()
 {
     mStopped = true;
-    mChanged->notify();
+    mStatusChanged->notify();
 }
 
-std::string MemberService::ownValue() const
+std::string MemberService::ownRecordValue() const
 {
     boost::json::object value;
     value["box"] = mSettings.box;
@@ -121,10 +121,10 @@
     return boost::json::serialize(value);
 }
 
-awaitable<void> MemberService::keepRecord()
+awaitable<void> MemberService::publishRecord()
 {
     while (!mStopped && !mIsLeaving && !mIsRecorded) {
-        const std::string value = ownValue();
+        const std::string value = ownRecordValue();
         const auto done = co_await mStore.put(mKey, value);
         mIsRecorded = done.has_value();
         if (mIsRecorded) {
@@ -132,7 +132,7 @@
                     {{"key", mKey}, {"incarnation", mIncarnation}});
             co_return;
         }
-        co_await sleepFor(sRecordRetry);
+        co_await sleepFor(sRecordRetryDelay);
     }
 }
 
@@ -144,7 +144,7 @@
             {{"key", mKey}, {"done", done.has_value()}});
 }
 
-void MemberService::take(const FeedChange &change)
+void MemberService::applyRecord(const FeedChange &change)
 {
     const std::string &key = change.record.key;
     if (key.starts_with(sQuarantineKeys)) {
@@ -158,7 +158,7 @@
                 == mIncarnation;
         if (!isOwn && mIsRecorded && !mIsLeaving) {
             mIsRecorded = false;
-            asio::co_spawn(mChanged->executor(), keepRecord(), asio::detached);
+            asio::co_spawn(mStatusChanged->executor(), publishRecord(), asio::detached);
         }
         return;
     }
@@ -166,14 +166,14 @@
         const auto left = mMembers.find(key);
         const bool wasKnown = left != mMembers.end();
         if (wasKnown) {
-            const auto agent = mAgents.find(left->second.engine);
-            if (agent != mAgents.end() && agent->second == key) {
-                mAgents.erase(agent);
+            const auto agent = mStagerKeyByEngine.find(left->second.engine);
+            if (agent != mStagerKeyByEngine.end() && agent->second == key) {
+                mStagerKeyByEngine.erase(agent);
             }
             mMembers.erase(left);
-            ++mMemberChanges;
+            ++mMemberChangeCount;
         }
-        mCameAt.erase(key);
+        mFirstSeenAt.erase(key);
         if (wasKnown) {
             logLine(LogLevel::Info, "member-left", {{"member", key}});
         }
@@ -190,29 +190,29 @@
     const bool isNewLife
         = known == mMembers.end() || known->second.incarnation != member->incarnation;
     if (isNewLife) {
-        mCameAt[key] = now();
+        mFirstSeenAt[key] = now();
     }
     if (!member->engine.empty()) {
-        mAgents[member->engine] = key;
+        mStagerKeyByEngine[member->engine] = key;
     }
     mMembers[key] = *member;
-    ++mMemberChanges;
+    ++mMemberChangeCount;
 }
 
-std::optional<Tcp::endpoint> MemberService::agentOf(const std::string &engine) const
+std::optional<Tcp::endpoint> MemberService::agentFor(const std::string &engine) const
 {
-    const auto agent = mAgents.find(engine);
-    if (agent == mAgents.end()) {
+    const auto agent = mStagerKeyByEngine.find(engine);
+    if (agent == mStagerKeyByEngine.end()) {
         return std::nullopt;
     }
     const auto member = mMembers.find(agent->second);
     return member == mMembers.end() ? std::nullopt : std::optional(member->second.peers);
 }
 
-std::vector<Member> MemberService::watchedStagers() const
+std::vector<Member> MemberService::monitoredStagers() const
 {
     std::vector<Member> stagers;
-    for (const auto &[key, since] : mWatched) {
+    for (const auto &[key, since] : mMonitoredSince) {
         const auto member = mMembers.find(key);
         if (member != mMembers.end() && !member->second.isGateway) {
             stagers.push_back(member->second);
@@ -222,30 +222,30 @@
 }
 
 // Works out anew what this gateway does for the others, if members came or went.
-void MemberService::plan()
+void MemberService::updatePlan()
 {
-    if (mPlannedChanges == mMemberChanges) {
+    if (mPlannedMemberChangeCount == mMemberChangeCount) {
         return;
     }
-    mPlannedChanges = mMemberChanges;
+    mPlannedMemberChangeCount = mMemberChangeCount;
     std::vector<MemberLocation> places;
     for (const auto &[key, member] : mMembers) {
         places.push_back({key, member.dataCentre, member.isGateway});
     }
     const MemberPlan plan({mKey, mSettings.dataCentre, true}, places);
-    mToFollow = plan.gatewaysToFollow();
-    mReadersEverywhere = plan.readerOrder(ReaderScope::Global);
-    mReadersNear = plan.readerOrder(ReaderScope::DataCentre);
+    mGatewaysToFollow = plan.gatewaysToFollow();
+    mGlobalReaders = plan.readerOrder(ReaderScope::Global);
+    mDataCentreReaders = plan.readerOrder(ReaderScope::DataCentre);
     std::set<std::string> watched = plan.agentsToWatch();
-    watched.insert(mToFollow.begin(), mToFollow.end());
-    std::erase_if(mWatched, [&](const auto &item) { return !watched.contains(item.first); });
+    watched.insert(mGatewaysToFollow.begin(), mGatewaysToFollow.end());
+    std::erase_if(mMonitoredSince, [&](const auto &item) { return !watched.contains(item.first); });
     for (const std::string &key : watched) {
-        mWatched.try_emplace(key, now());
+        mMonitoredSince.try_emplace(key, now());
     }
 }
 
 // The first in order that lives and reaches the store, as far as this gateway knows.
-const std::string &MemberService::firstReader(std::span<const std::string> order) const
+const std::string &MemberService::selectReader(std::span<const std::string> order) const
 {
     for (const std::string &key : order) {
         if (key == mKey) {
@@ -254,7 +254,7 @@
             }
             continue;
         }
-        if (mMembers.contains(key) && mayRead(key)) {
+        if (mMembers.contains(key) && mayReadStore(key)) {
             return key;
         }
     }
@@ -263,15 +263,15 @@
 
 // While this gateway begins it has heard of few, and those that begin with it cannot
 // serve callers yet: one counts as living then unless it said or showed otherwise.
-bool MemberService::mayRead(const std::string &key) const
+bool MemberService::mayReadStore(const std::string &key) const
 {
-    const auto found = mStates.find(key);
+    const auto found = mGatewayStates.find(key);
     const bool isBeginTime = mFeeds->isBeginTime();
-    if (found == mStates.end()) {
+    if (found == mGatewayStates.end()) {
         return isBeginTime;
     }
     const GatewayState &state = found->second;
-    const bool mayLive = isBeginTime && !state.isLost && !state.isLeaving;
+    const bool mayLive = isBeginTime && !state.isUnreachable && !state.isLeaving;
     return (mayLive || isUsable(state)) && !state.hasStoreFailed;
 }
 
@@ -279,14 +279,14 @@
 std::vector<Tcp::endpoint> MemberService::earlierReaders() const
 {
     std::vector<Tcp::endpoint> earlier;
-    for (const std::string &key : mReadersNear) {
-        if (key == mKey || earlier.size() == sMostEarlier) {
+    for (const std::string &key : mDataCentreReaders) {
+        if (key == mKey || earlier.size() == sMaxEarlierReaders) {
             break;
         }
         const auto member = mMembers.find(key);
-        const auto state = mStates.find(key);
-        const bool saidNo
-            = state != mStates.end() && (state->second.isLeaving || state->second.hasStoreFailed);
+        const auto state = mGatewayStates.find(key);
+        const bool saidNo = state != mGatewayStates.end()
+            && (state->second.isLeaving || state->second.hasStoreFailed);
         if (member != mMembers.end() && !saidNo) {
             earlier.push_back(member->second.peers);
         }
@@ -297,58 +297,59 @@
 std::optional<Instant> MemberService::lastHeard(const std::string &key, const Member &member) const
 {
     if (!member.isGateway) {
-        const auto it = mHeard.find(key);
-        return it == mHeard.end() ? std::nullopt : std::optional(it->second);
+        const auto it = mStagersHeardAt.find(key);
+        return it == mStagersHeardAt.end() ? std::nullopt : std::optional(it->second);
     }
-    const auto it = mStates.find(key);
-    return it == mStates.end() ? std::nullopt : it->second.heardAt;
+    const auto it = mGatewayStates.find(key);
+    return it == mGatewayStates.end() ? std::nullopt : it->second.heardAt;
 }
 
 void MemberService::noteHeard(const std::string &key)
 {
-    mHeard[key] = now();
-    noteHeardFrom(key);
+    mStagersHeardAt[key] = now();
+    noteHeardFromDataCentre(key);
 }
 
-void MemberService::noteHeardFrom(const std::string &key)
+void MemberService::noteHeardFromDataCentre(const std::string &key)
 {
     if (const auto member = mMembers.find(key); member != mMembers.end()) {
-        mSilence.noteHeard(member->second.dataCentre, now());
+        mFailureDetector.noteHeard(member->second.dataCentre, now());
     }
 }
 
 bool MemberService::isOverdue(const std::string &key, const Member &member) const
 {
-    const auto watched = mWatched.find(key);
-    if (watched == mWatched.end()) {
+    const auto watched = mMonitoredSince.find(key);
+    if (watched == mMonitoredSince.end()) {
         return false;
     }
     Instant since = watched->second;
-    if (const auto came = mCameAt.find(key); came != mCameAt.end()) {
+    if (const auto came = mFirstSeenAt.find(key); came != mFirstSeenAt.end()) {
         since = std::max(since, came->second);
     }
     if (const auto heard = lastHeard(key, member)) {
         since = std::max(since, *heard);
     }
     // One watcher after the other, so that mostly one writes.
-    const auto turn = static_cast<std::int64_t>(rendezvousWeight(key, mKey) % sForgetTurns);
-    return mSilence.isOverdue(member.dataCentre, since, now(), sForgetAfter + sForgetTurn * turn);
+    const auto turn = static_cast<std::int64_t>(rendezvousWeight(key, mKey) % sRemovalSlotCount);
+    return mFailureDetector.isOverdue(member.dataCentre, since, now(),
+                                      sRemovalTimeout + sRemovalStagger * turn);
 }
 
 // A box that is gone for good takes no record away. Members that it stays
 // responsible for would wait for it; so a gateway removes it, if it hears most
 // of the others. One that lives after all records itself anew.
-awaitable<void> MemberService::forgetSilent()
+awaitable<void> MemberService::removeSilentMembers()
 {
     while (!mStopped && !mIsLeaving) {
-        co_await sleepFor(sForgetEvery);
+        co_await sleepFor(sRemovalCheckInterval);
         std::vector<std::string> overdue;
         for (const auto &[key, member] : mMembers) {
             if (isOverdue(key, member)) {
                 overdue.push_back(key);
             }
         }
-        const bool isAlone = 2 * overdue.size() > mWatched.size();
+        const bool isAlone = 2 * overdue.size() > mMonitoredSince.size();
         if (isAlone || !mFeeds->isStoreReached(Feed::Members)) {
             continue;
         }
@@ -369,7 +370,7 @@
     return all;
 }
 
-std::vector<Member> MemberService::stagersOf(std::string_view service) const
+std::vector<Member> MemberService::stagersForService(std::string_view service) const
 {
     std::vector<Member> all;
     for (const auto &[key, member] : mMembers) {
@@ -382,7 +383,7 @@
 
 // Links between data centres are shared by all boxes, so records are relayed
 // within one where possible. Followers spread over the gateways there.
-std::vector<Tcp::endpoint> MemberService::gatewayAddresses() const
+std::vector<Tcp::endpoint> MemberService::gatewayPeerAddresses() const
 {
     std::vector<Member> heard;
     std::vector<Member> all;
@@ -391,13 +392,13 @@
             continue;
         }
         all.push_back(member);
-        const auto it = mStates.find(key);
-        if (it != mStates.end() && it->second.heardAt
-            && now() - *it->second.heardAt < sStatusSilence) {
+        const auto it = mGatewayStates.find(key);
+        if (it != mGatewayStates.end() && it->second.heardAt
+            && now() - *it->second.heardAt < sStatusTimeout) {
             heard.push_back(member);
         }
     }
-    std::vector<Tcp::endpoint> addresses = nearFirst(heard.empty() ? all : heard);
+    std::vector<Tcp::endpoint> addresses = localDataCentreFirst(heard.empty() ? all : heard);
     if (!heard.empty()) {
         return addresses;
     }
@@ -409,7 +410,8 @@
     return addresses;
 }
 
-std::vector<Tcp::endpoint> MemberService::nearFirst(std::span<const Member> members) const
+std::vector<Tcp::endpoint>
+MemberService::localDataCentreFirst(std::span<const Member> members) const
 {
     std::vector<std::string> keys;
     for (const Member &member : members) {
@@ -426,7 +428,7 @@
 }
 
 // By the machine alone: whoever connects to this process does so from any port.
-PeerPlace MemberService::placeOf(const Tcp::endpoint &remote) const
+PeerLocation MemberService::locationOf(const Tcp::endpoint &remote) const
 {
     bool isNear = false;
     bool isFar = false;
@@ -437,17 +439,18 @@
         }
     }
     if (isNear == isFar) {
-        return PeerPlace::Unknown; // no member is there, or members of several
+        return PeerLocation::Unknown; // no member is there, or members of several
     }
-    return isNear ? PeerPlace::OwnDataCentre : PeerPlace::OtherDataCentre;
+    return isNear ? PeerLocation::OwnDataCentre : PeerLocation::OtherDataCentre;
 }
 
-std::vector<GatewayAddress> MemberService::addressPlaces() const
+std::vector<GatewayAddress> MemberService::otherGateways() const
 {
     std::vector<GatewayAddress> places;
     for (const auto &[key, member] : mMembers) {
         if (member.isGateway) {
-            places.push_back({member.callers, member.dataCentre, member.region, standingOf(key)});
+            places.push_back(
+                {member.callers, member.dataCentre, member.region, availabilityOf(key)});
         }
     }
     return places;
@@ -455,10 +458,10 @@
 
 // Only some of all gateways are listened to; of one that is, a state is known
 // once it has spoken or could not be reached.
-GatewayAvailability MemberService::standingOf(const std::string &key) const
+GatewayAvailability MemberService::availabilityOf(const std::string &key) const
 {
-    const auto state = mStates.find(key);
-    if (state == mStates.end()) {
+    const auto state = mGatewayStates.find(key);
+    if (state == mGatewayStates.end()) {
         return GatewayAvailability::Unmonitored;
     }
     return isUsable(state->second) ? GatewayAvailability::Healthy
@@ -469,21 +472,21 @@
 // gateway. So one of all reads it, one of each data centre follows that one, since
 // the links between them are narrow, and the others follow the one near them.
 // Whoever hears nothing from there, or only what is old, reads the store itself.
-FeedReaders MemberService::feedReaders()
+FeedReaders MemberService::selectFeedReaders()
 {
-    plan(); // who begins asks before the next scan
+    updatePlan(); // who begins asks before the next scan
     FeedReaders readers;
-    if (mReadersEverywhere.size() < sLeastRelayed) {
+    if (mGlobalReaders.size() < sMinRelayingGateways) {
         return readers;
     }
     readers.isRelayed = true;
     readers.earlier = earlierReaders();
-    const std::string &reader = firstReader(mReadersEverywhere);
+    const std::string &reader = selectReader(mGlobalReaders);
     readers.isReader = reader == mKey;
     if (readers.isReader) {
         return readers;
     }
-    const std::string &near = firstReader(mReadersNear);
+    const std::string &near = selectReader(mDataCentreReaders);
     const std::string &followed = near == mKey ? reader : near;
     readers.others.push_back(mMembers.find(followed)->second.peers);
     return readers;
@@ -491,7 +494,7 @@
 
 bool MemberService::isUsable(const GatewayState &state)
 {
-    const bool isHeard = state.heardAt && now() - *state.heardAt < sStatusSilence;
+    const bool isHeard = state.heardAt && now() - *state.heardAt < sStatusTimeout;
     return isHeard && state.isReady && !state.isLeaving;
 }
 
@@ -502,28 +505,28 @@
         if (!member.isGateway) {
             continue;
         }
-        const auto it = mStates.find(key);
-        const bool isSilent = it != mStates.end() && it->second.heardAt
-            && now() - *it->second.heardAt > sMayBeAlive;
+        const auto it = mGatewayStates.find(key);
+        const bool isSilent = it != mGatewayStates.end() && it->second.heardAt
+            && now() - *it->second.heardAt > sPresumedAliveTimeout;
         count += isSilent ? 0 : 1;
     }
     return count;
 }
 
-std::optional<Tcp::endpoint> MemberService::homeOf(std::string_view key) const
+std::optional<Tcp::endpoint> MemberService::ownerOf(std::string_view key) const
 {
-    const GatewayState own = mStatus ? mStatus() : GatewayState();
+    const GatewayState own = mStatusSource ? mStatusSource() : GatewayState();
     const bool isOwnUsable = own.isReady && !own.isLeaving;
     std::uint64_t most = isOwnUsable ? rendezvousWeight(key, mKey) : 0;
     std::optional<Tcp::endpoint> home;
-    for (const auto &[member, told] : mMembers) {
-        if (!told.isGateway || standingOf(member) == GatewayAvailability::Unavailable) {
+    for (const auto &[member, candidate] : mMembers) {
+        if (!candidate.isGateway || availabilityOf(member) == GatewayAvailability::Unavailable) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(key, member);
         if (weight > most) {
             most = weight;
-            home = told.peers;
+            home = candidate.peers;
         }
     }
     return home;
@@ -531,41 +534,41 @@
 
 void MemberService::noteChange()
 {
-    ++mStatusChanges;
-    mChanged->notify();
+    ++mStatusChangeCount;
+    mStatusChanged->notify();
 }
 
 awaitable<void> MemberService::followGateways()
 {
     while (!mStopped) {
-        plan();
-        for (const std::string &key : mToFollow) {
-            if (mFollowed.insert(key).second) {
-                asio::co_spawn(mChanged->executor(), followGateway(key), asio::detached);
+        updatePlan();
+        for (const std::string &key : mGatewaysToFollow) {
+            if (mFollowedGateways.insert(key).second) {
+                asio::co_spawn(mStatusChanged->executor(), followGateway(key), asio::detached);
             }
         }
-        co_await sleepFor(sScanEvery);
+        co_await sleepFor(sFollowCheckInterval);
     }
 }
 
 awaitable<void> MemberService::followGateway(std::string key)
 {
-    while (!mStopped && mToFollow.contains(key)) {
+    while (!mStopped && mGatewaysToFollow.contains(key)) {
         const Tcp::endpoint address = mMembers[key].peers;
         const PeerStreamPtr stream = co_await mHub->open(address, std::string(sStatusPath));
         while (stream && !mStopped) {
-            if (!mToFollow.contains(key)) {
+            if (!mGatewaysToFollow.contains(key)) {
                 stream->reset();
                 break;
             }
-            const auto deadline = std::chrono::steady_clock::now() + sStatusSilence;
+            const auto deadline = std::chrono::steady_clock::now() + sStatusTimeout;
             const auto status = co_await stream->receiveMessage<wire::MemberStatus>(deadline);
             if (!status || !*status) {
                 stream->reset();
                 stream->connection()->close(); // silent: a new connection finds out sooner
                 break;
             }
-            GatewayState &state = mStates[key];
+            GatewayState &state = mGatewayStates[key];
             const bool wasReady = state.isReady && !state.isLeaving;
             state.isReady = (*status)->ready();
             state.isLeaving = (*status)->leaving();
@@ -573,10 +576,10 @@
             state.configVersion = (*status)->config_version();
             state.hasStoreFailed = (*status)->store_failed();
             state.heardAt = now();
-            state.isLost = false;
-            noteHeardFrom(key);
-            if (mNews.take) {
-                mNews.take(**status);
+            state.isUnreachable = false;
+            noteHeardFromDataCentre(key);
+            if (mStatusExtension.apply) {
+                mStatusExtension.apply(**status);
             }
             if (wasReady != (state.isReady && !state.isLeaving)) {
                 logLine(LogLevel::Info, "gateway-state",
@@ -586,21 +589,21 @@
                          {"incarnation", state.incarnation}});
             }
         }
-        GatewayState &state = mStates[key];
-        state.isLost = true;
+        GatewayState &state = mGatewayStates[key];
+        state.isUnreachable = true;
         if (state.isReady) {
             logLine(LogLevel::Warning, "gateway-lost", {{"member", key}});
             state.isReady = false;
         }
-        co_await sleepFor(sRedialPause);
+        co_await sleepFor(sReconnectDelay);
     }
-    mStates.erase(key);
-    mFollowed.erase(key);
+    mGatewayStates.erase(key);
+    mFollowedGateways.erase(key);
 }
 
 wire::MemberStatus MemberService::ownStatus() const
 {
-    const GatewayState state = mStatus ? mStatus() : GatewayState();
+    const GatewayState state = mStatusSource ? mStatusSource() : GatewayState();
     wire::MemberStatus status;
     status.set_box(mSettings.box);
     status.set_incarnation(mIncarnation);
@@ -613,16 +616,16 @@
 
 awaitable<void> MemberService::serveStatus(PeerStreamPtr stream)
 {
-    std::uint64_t toldNews = 0; // whoever follows anew is told all
+    std::uint64_t sentRevision = 0; // whoever follows anew is told all
     while (stream->isOpen() && !mStopped) {
         wire::MemberStatus status = ownStatus();
-        toldNews = mNews.put ? mNews.put(toldNews, status) : 0;
+        sentRevision = mStatusExtension.append ? mStatusExtension.append(sentRevision, status) : 0;
         stream->send(status);
-        const std::uint64_t seen = mStatusChanges;
-        const Instant until = now() + sStatusEvery;
-        while (stream->isOpen() && seen == mStatusChanges && toldNews == newsChanges()
+        const std::uint64_t seen = mStatusChangeCount;
+        const Instant until = now() + sStatusInterval;
+        while (stream->isOpen() && seen == mStatusChangeCount && sentRevision == extensionRevision()
                && now() < until && !mStopped) {
-            co_await mChanged->waitUntil(steadyTime(until));
+            co_await mStatusChanged->waitUntil(steadyTime(until));
         }
     }
 }
--- a/src/libloomjunction/gateway/directsettings.cpp
+++ b/src/libloomjunction/gateway/membersettings.cpp
@@ -1,12 +1,12 @@
 /*
- * directsettings.cpp
+ * membersettings.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "directsettings.h"
+#include "membersettings.h"
 
 #include "settingsfile.h"
 
@@ -16,52 +16,54 @@
 
 namespace {
 
-constexpr double sMostMbit = 1'000'000;
-constexpr double sMostMilliseconds = 3'600'000;
-constexpr double sMostSeconds = 3'600;
-constexpr double sMostRatio = 10;
-constexpr double sMostExtra = 1'000'000;
-constexpr int sMostLost = 64;
+constexpr double sMaxMbit = 1'000'000;
+constexpr double sMaxMilliseconds = 3'600'000;
+constexpr double sMaxSeconds = 3'600;
+constexpr double sMaxRatio = 10;
+constexpr double sMaxExtraRetries = 1'000'000;
+constexpr int sMaxToleratedFailures = 64;
 constexpr double sMillisecondsPerSecond = 1'000;
 constexpr std::string_view sGateway = "gateway";
 constexpr std::string_view sStager = "stager";
 
 // Platforms give bounds as real numbers, since they are worked out from sizes.
-Milliseconds milliseconds(SettingsReader &reader, std::string_view field, Milliseconds standard)
+Milliseconds milliseconds(SettingsReader &reader, std::string_view field, Milliseconds defaultValue)
 {
-    const auto usual = static_cast<double>(standard.count());
-    return Milliseconds(std::llround(reader.real(field, 0, sMostMilliseconds, usual)));
+    const auto fallback = static_cast<double>(defaultValue.count());
+    return Milliseconds(std::llround(reader.real(field, 0, sMaxMilliseconds, fallback)));
 }
 
-Milliseconds seconds(SettingsReader &reader, std::string_view field, Milliseconds standard)
+Milliseconds seconds(SettingsReader &reader, std::string_view field, Milliseconds defaultValue)
 {
-    const double usual = static_cast<double>(standard.count()) / sMillisecondsPerSecond;
-    const double found = reader.real(field, 0, sMostSeconds, usual);
+    const double fallback = static_cast<double>(defaultValue.count()) / sMillisecondsPerSecond;
+    const double found = reader.real(field, 0, sMaxSeconds, fallback);
     return Milliseconds(std::llround(found * sMillisecondsPerSecond));
 }
 
-DirectBounds readBounds(SettingsReader reader)
+MemberBounds readBounds(SettingsReader reader)
 {
-    DirectBounds bounds;
-    bounds.drainTime = milliseconds(reader, "drainMs", bounds.drainTime);
-    bounds.stopTime = seconds(reader, "stopSeconds", bounds.stopTime);
-    bounds.addressLifetime = seconds(reader, "addressLifetimeSeconds", bounds.addressLifetime);
-    bounds.weightsTime = milliseconds(reader, "weightsMs", bounds.weightsTime);
-    bounds.configTime = milliseconds(reader, "configMs", bounds.configTime);
+    MemberBounds bounds;
+    bounds.drainTimeout = milliseconds(reader, "drainMs", bounds.drainTimeout);
+    bounds.shutdownTimeout = seconds(reader, "stopSeconds", bounds.shutdownTimeout);
+    bounds.addressTtl = seconds(reader, "addressLifetimeSeconds", bounds.addressTtl);
+    bounds.weightsGracePeriod = milliseconds(reader, "weightsMs", bounds.weightsGracePeriod);
+    bounds.maxConfigAge = milliseconds(reader, "configMs", bounds.maxConfigAge);
     bounds.retries.window = seconds(reader, "retryWindowSeconds", bounds.retries.window);
-    bounds.retries.ratio = reader.real("retryRatio", 0, sMostRatio, bounds.retries.ratio);
-    bounds.retries.extra = reader.real("retryExtra", 0, sMostExtra, bounds.retries.extra);
+    bounds.retries.ratio = reader.real("retryRatio", 0, sMaxRatio, bounds.retries.ratio);
+    bounds.retries.extra = reader.real("retryExtra", 0, sMaxExtraRetries, bounds.retries.extra);
     reader.refuseUnknown();
     return bounds;
 }
 
-FailureTolerance readLosses(SettingsReader reader)
+FailureTolerance readFailureTolerance(SettingsReader reader)
 {
-    FailureTolerance losses;
-    losses.dataCentres = static_cast<std::uint32_t>(reader.integer("dataCentres", 0, sMostLost, 0));
-    losses.regions = static_cast<std::uint32_t>(reader.integer("regions", 0, sMostLost, 0));
+    FailureTolerance failureTolerance;
+    failureTolerance.dataCentres
+        = static_cast<std::uint32_t>(reader.integer("dataCentres", 0, sMaxToleratedFailures, 0));
+    failureTolerance.regions
+        = static_cast<std::uint32_t>(reader.integer("regions", 0, sMaxToleratedFailures, 0));
     reader.refuseUnknown();
-    return losses;
+    return failureTolerance;
 }
 
 GatewaySettings readGateway(SettingsReader reader)
@@ -79,14 +81,14 @@
     StagerSettings stager;
     stager.service = reader.text("service");
     stager.engine = reader.endpoint("engine");
-    stager.linkMbit = reader.real("linkMbit", 0, sMostMbit, 0);
+    stager.linkMbit = reader.real("linkMbit", 0, sMaxMbit, 0);
     reader.refuseUnknown();
     return stager;
 }
 
 } // namespace
 
-tl::expected<DirectSettings, std::string> loadDirectSettings(const std::string &path)
+tl::expected<MemberSettings, std::string> loadMemberSettings(const std::string &path)
 {
     const auto object = SettingsReader::load(path);
     if (!object) {
@@ -94,7 +96,7 @@
     }
     std::vector<std::string> problems;
     SettingsReader reader(path, "", *object, problems);
-    DirectSettings settings;
+    MemberSettings settings;
     settings.box = reader.text("box");
     settings.dataCentre = reader.text("dataCentre");
     settings.region = reader.text("region");
@@ -109,7 +111,7 @@
         settings.bounds = readBounds(reader.child("bounds"));
     }
     if (reader.has("losses")) {
-        settings.losses = readLosses(reader.child("losses"));
+        settings.failureTolerance = readFailureTolerance(reader.child("losses"));
     }
     const std::string role = reader.oneOf("role", {sGateway, sStager});
     if (role == sGateway) {
@@ -124,7 +126,8 @@
     return settings;
 }
 
-std::vector<std::string> fieldsForRestart(const DirectSettings &running, const DirectSettings &next)
+std::vector<std::string> fieldsRequiringRestart(const MemberSettings &running,
+                                                const MemberSettings &next)
 {
     std::vector<std::string> fields;
     const auto note = [&](std::string_view field, bool isSame) {
@@ -145,7 +148,7 @@
     return fields;
 }
 
-bool isDirectRole(const std::string &path)
+bool hasMemberRole(const std::string &path)
 {
     const auto object = SettingsReader::load(path);
     if (!object) {
--- a/src/libloomjunction/gateway/directsettings.h
+++ b/src/libloomjunction/gateway/membersettings.h
@@ -1,5 +1,5 @@
 /*
- * directsettings.h
+ * membersettings.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -45,18 +45,18 @@
 };
 
 /** Bounds that the platform's users hold the system to. */
-struct DirectBounds
+struct MemberBounds
 {
-    Milliseconds drainTime{2'000}; ///< a draining replica gets no more after it
-    Milliseconds stopTime{8'000}; ///< from SIGTERM to the end of the process
-    Milliseconds addressLifetime{5'000}; ///< most that callers keep an address answer
-    Milliseconds weightsTime{8'000}; ///< older weights begin no request after it
-    Milliseconds configTime{2'000}; ///< an older configuration refuses nothing after it
+    Milliseconds drainTimeout{2'000}; ///< a draining replica gets no more after it
+    Milliseconds shutdownTimeout{8'000}; ///< from SIGTERM to the end of the process
+    Milliseconds addressTtl{5'000}; ///< most that callers keep an address answer
+    Milliseconds weightsGracePeriod{8'000}; ///< older weights begin no request after it
+    Milliseconds maxConfigAge{2'000}; ///< an older configuration refuses nothing after it
     RetryBounds retries;
 };
 
 /** Settings of a process that works without an agent in the requests' path. */
-struct DirectSettings
+struct MemberSettings
 {
     std::string box;
     std::string dataCentre;
@@ -66,21 +66,21 @@
     Tcp::endpoint store;
     std::optional<Tcp::endpoint> metrics;
     LogLevel logLevel = LogLevel::Info;
-    DirectBounds bounds;
-    FailureTolerance losses;
+    MemberBounds bounds;
+    FailureTolerance failureTolerance;
     std::variant<GatewaySettings, StagerSettings> role;
 
     bool isGateway() const { return std::holds_alternative<GatewaySettings>(role); }
 };
 
 /** Names of the fields that differ and that a running process cannot take up. */
-std::vector<std::string> fieldsForRestart(const DirectSettings &running,
-                                          const DirectSettings &next);
+std::vector<std::string> fieldsRequiringRestart(const MemberSettings &running,
+                                                const MemberSettings &next);
 
 /** Reads and checks a settings file; the error lists every problem, a line each. */
-tl::expected<DirectSettings, std::string> loadDirectSettings(const std::string &path);
+tl::expected<MemberSettings, std::string> loadMemberSettings(const std::string &path);
 
-/** Whether the file names one of the roles of DirectSettings. */
-bool isDirectRole(const std::string &path);
+/** Whether the file names one of the roles of MemberSettings. */
+bool hasMemberRole(const std::string &path);
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/directconfig.cpp
+++ b/src/libloomjunction/gateway/operatorconfigservice.cpp
@@ -1,12 +1,12 @@
 /*
- * directconfig.cpp
+ * operatorconfigservice.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "directconfig.h"
+#include "operatorconfigservice.h"
 
 #include "clock.h"
 #include "feedservice.h"
@@ -24,49 +24,49 @@
 // that lags behind its own confirmation, and a process that stands still between its look
 // at the age and its answer. All well, ages reach 1.1 s (three hops, memory store), under
 // the 1.5 s that this leaves of the shortest bound, 2 s.
-constexpr int sFreshParts = 3;
-constexpr int sBoundParts = 4;
+constexpr int sFreshnessNumerator = 3;
+constexpr int sFreshnessDenominator = 4;
 // A quiet store answers a long read after this part of the bound, so that knowledge of a
 // quiet store stays fresh.
-constexpr int sReadsInBound = 2;
+constexpr int sReadsPerMaxAge = 2;
 // Nobody knows when a version was named that this process finds at its start:
 // older weights may begin requests for this long after it.
-constexpr Milliseconds sStartGrace{1'500};
+constexpr Milliseconds sInitialWeightsGracePeriod{1'500};
 // Known since some process's start, not since an operator wrote it: such ages, a day,
 // would hide all others.
-constexpr Microseconds sNoAge = std::chrono::hours(12);
+constexpr Microseconds sMaxObservedAge = std::chrono::hours(12);
 
 } // namespace
 
-DirectConfig::DirectConfig(RecordPort &records, const DirectBounds &bounds)
+OperatorConfigService::OperatorConfigService(RecordPort &records, const MemberBounds &bounds)
     : mRecords(records)
     , mBounds(bounds)
-    , mWeights(bounds.weightsTime)
+    , mWeights(bounds.weightsGracePeriod)
 {
 }
 
-tl::expected<void, std::string> DirectConfig::start(Kernel &kernel)
+tl::expected<void, std::string> OperatorConfigService::start(Kernel &kernel)
 {
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
-    mFeeds->listen(Feed::Operators, [this](const FeedChange &change) { take(change); });
+    mFeeds->listen(Feed::Operators, [this](const FeedChange &change) { applyRecord(change); });
     setBounds(mBounds);
     return {};
 }
 
-void DirectConfig::setBounds(const DirectBounds &bounds)
+void OperatorConfigService::setBounds(const MemberBounds &bounds)
 {
     mBounds = bounds;
-    mWeights.setGracePeriod(bounds.weightsTime);
-    mFeeds->setOperatorsWait(bounds.configTime / sReadsInBound);
+    mWeights.setGracePeriod(bounds.weightsGracePeriod);
+    mFeeds->setOperatorsWait(bounds.maxConfigAge / sReadsPerMaxAge);
 }
 
-bool DirectConfig::mayBeStale() const
+bool OperatorConfigService::mayBeStale() const
 {
     const auto age = mFeeds->age(Feed::Operators);
-    return !age || *age > mBounds.configTime * sFreshParts / sBoundParts;
+    return !age || *age > mBounds.maxConfigAge * sFreshnessNumerator / sFreshnessDenominator;
 }
 
-void DirectConfig::take(const FeedChange &change)
+void OperatorConfigService::applyRecord(const FeedChange &change)
 {
     if (!change.record.value) {
         return; // what was accepted stays in force
@@ -82,20 +82,20 @@
     }
     std::visit(Overload{
                    [&](RouteConfig &config) { install(std::move(config), change); },
-                   [&](const NamedWeights &named) { nameWeights(named, change); },
+                   [&](const NamedWeights &named) { applyNamedWeights(named, change); },
                    [](const UnrelatedRecord &) {},
                },
                *record);
 }
 
-void DirectConfig::install(RouteConfig config, const FeedChange &change)
+void OperatorConfigService::install(RouteConfig config, const FeedChange &change)
 {
     const LoopStep step("installing a configuration");
-    const std::uint64_t before = mTable ? mTable->version() : 0;
-    const bool isNewer = !mTable || config.version > before;
+    const std::uint64_t previousVersion = mTable ? mTable->version() : 0;
+    const bool isNewer = !mTable || config.version > previousVersion;
     logLine(LogLevel::Info, isNewer ? "config-in-force" : "config-passed-over",
             {{"version", config.version},
-             {"before", before},
+             {"before", previousVersion},
              {"offset", change.record.offset},
              {"ageMs", std::chrono::duration_cast<Milliseconds>(change.age).count()},
              {"from", change.way.from},
@@ -112,19 +112,19 @@
     }
 }
 
-void DirectConfig::observeAge(const FeedChange &change)
+void OperatorConfigService::observeAge(const FeedChange &change)
 {
-    if (mMetrics == nullptr || change.age >= sNoAge) {
+    if (mMetrics == nullptr || change.age >= sMaxObservedAge) {
         return;
     }
     const std::string_view way = change.way.hops == 0 ? "from the store" : "relayed";
     mMetrics->observe("config_age_ms", way, static_cast<double>(change.age.count()) / 1'000);
 }
 
-void DirectConfig::nameWeights(const NamedWeights &named, const FeedChange &change)
+void OperatorConfigService::applyNamedWeights(const NamedWeights &named, const FeedChange &change)
 {
-    const Microseconds most = mBounds.weightsTime - sStartGrace;
-    const Microseconds age = std::min(change.age, most);
+    const Microseconds maxAge = mBounds.weightsGracePeriod - sInitialWeightsGracePeriod;
+    const Microseconds age = std::min(change.age, maxAge);
     mWeights.name(named.model, named.version, now() - age);
     logLine(LogLevel::Info, "weights-named",
             {{"model", named.model},
--- a/src/libloomjunction/gateway/directconfig.h
+++ b/src/libloomjunction/gateway/operatorconfigservice.h
@@ -1,5 +1,5 @@
 /*
- * directconfig.h
+ * operatorconfigservice.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -8,8 +8,8 @@
 
 #pragma once
 
-#include "directsettings.h"
 #include "kernel.h"
+#include "membersettings.h"
 #include "ports.h"
 #include "routetable.h"
 #include "weightversiontracker.h"
@@ -24,13 +24,13 @@
 class Metrics;
 
 /** The operators' configuration and named weights, as this process believes them. */
-class DirectConfig final : public Service
+class OperatorConfigService final : public Service
 {
 public:
     static constexpr std::string_view sName = "direct-config";
     using Listener = std::function<void()>;
 
-    DirectConfig(RecordPort &records, const DirectBounds &bounds);
+    OperatorConfigService(RecordPort &records, const MemberBounds &bounds);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -46,16 +46,16 @@
 
     /** Calls @p listener after each change of either. */
     void addListener(Listener listener) { mListeners.push_back(std::move(listener)); }
-    void setBounds(const DirectBounds &bounds);
+    void setBounds(const MemberBounds &bounds);
 
 private:
-    void take(const FeedChange &change);
+    void applyRecord(const FeedChange &change);
     void install(RouteConfig config, const FeedChange &change);
     void observeAge(const FeedChange &change);
-    void nameWeights(const NamedWeights &named, const FeedChange &change);
+    void applyNamedWeights(const NamedWeights &named, const FeedChange &change);
 
     RecordPort &mRecords;
-    DirectBounds mBounds;
+    MemberBounds mBounds;
     FeedService *mFeeds = nullptr;
     Metrics *mMetrics = nullptr; ///< null: nothing is observed
     RouteTablePtr mTable;
--- a/src/libloomjunction/gateway/peerhub.cpp
+++ b/src/libloomjunction/gateway/peerhub.cpp
@@ -31,14 +31,14 @@
 
 } // namespace
 
-std::string_view peerPlaceName(PeerPlace place)
+std::string_view peerLocationName(PeerLocation place)
 {
     switch (place) {
-    case PeerPlace::Unknown:
+    case PeerLocation::Unknown:
         return "data centre unknown";
-    case PeerPlace::OwnDataCentre:
+    case PeerLocation::OwnDataCentre:
         return "own data centre";
-    case PeerPlace::OtherDataCentre:
+    case PeerLocation::OtherDataCentre:
         return "other data centre";
     }
     return "";
@@ -98,9 +98,9 @@
         return;
     }
     const Tcp::endpoint &remote = stream.connection()->remote();
-    const PeerPlace place = mPlaceOf ? mPlaceOf(remote) : PeerPlace::Unknown;
+    const PeerLocation place = mPeerLocator ? mPeerLocator(remote) : PeerLocation::Unknown;
     const std::string purpose = stream.path().substr(1); // paths begin with a slash
-    const std::string label = purpose + ", " + std::string(peerPlaceName(place));
+    const std::string label = purpose + ", " + std::string(peerLocationName(place));
     stream.countInto(mMetrics->counted("peer_bytes", label));
 }
 
--- a/src/libloomjunction/gateway/peerhub.h
+++ b/src/libloomjunction/gateway/peerhub.h
@@ -23,13 +23,13 @@
 class Metrics;
 
 /** Where the process at the other end of a stream is. */
-enum class PeerPlace : std::uint8_t
+enum class PeerLocation : std::uint8_t
 {
     Unknown,
     OwnDataCentre,
     OtherDataCentre,
 };
-std::string_view peerPlaceName(PeerPlace place);
+std::string_view peerLocationName(PeerLocation place);
 
 /** Connections to and from the other processes of the system; streams by path. */
 class PeerHub final : public Service
@@ -37,7 +37,7 @@
 public:
     static constexpr std::string_view sName = "peer-hub";
 
-    using PlaceOf = std::function<PeerPlace(const Tcp::endpoint &remote)>;
+    using PeerLocator = std::function<PeerLocation(const Tcp::endpoint &remote)>;
 
     explicit PeerHub(Tcp::endpoint address);
 
@@ -51,7 +51,7 @@
      */
     void countInto(Metrics &metrics) { mMetrics = &metrics; }
     /** Tells places; asked once a stream, without it all are unknown. */
-    void setPlaces(PlaceOf placeOf) { mPlaceOf = std::move(placeOf); }
+    void setPeerLocator(PeerLocator locationOf) { mPeerLocator = std::move(locationOf); }
 
     /** Runs @p handler for each stream that another process opens with @p path. */
     void serve(std::string path, PeerStreamHandler handler);
@@ -65,7 +65,7 @@
 
     Tcp::endpoint mAddress;
     Metrics *mMetrics = nullptr; ///< null: nothing is counted
-    PlaceOf mPlaceOf;
+    PeerLocator mPeerLocator;
     std::unique_ptr<PeerServer> mServer;
     std::map<std::string, PeerStreamHandler, std::less<>> mHandlers;
     std::unique_ptr<PeerLinks> mLinks;
--- a/src/libloomjunction/gateway/permitasker.cpp
+++ b/src/libloomjunction/gateway/permitasker.cpp
@@ -43,8 +43,8 @@
 // The agent beside it, else its home gateway; nothing: this process.
 std::optional<Tcp::endpoint> PermitAsker::keeperOf(const Replica &replica) const
 {
-    const auto agent = mMembers.agentOf(replica.record.address);
-    return agent ? agent : mMembers.homeOf(replica.record.incarnation());
+    const auto agent = mMembers.agentFor(replica.record.address);
+    return agent ? agent : mMembers.ownerOf(replica.record.incarnation());
 }
 
 // Who takes the replica over knows nothing of what was sent; it is told once.
--- a/src/libloomjunction/gateway/permitservice.cpp
+++ b/src/libloomjunction/gateway/permitservice.cpp
@@ -73,7 +73,7 @@
     if (!mReplica.empty()) {
         return query.address() == mReplica;
     }
-    return !mMembers->agentOf(query.address()) && !mMembers->homeOf(query.limit().replica());
+    return !mMembers->agentFor(query.address()) && !mMembers->ownerOf(query.limit().replica());
 }
 
 PermitService::Entry &PermitService::entryOf(const std::string &incarnation)
--- a/src/libloomjunction/gateway/quarantineservice.cpp
+++ b/src/libloomjunction/gateway/quarantineservice.cpp
@@ -61,7 +61,7 @@
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mFeeds->listen(Feed::Members, [this](const FeedChange &change) { take(change); });
-    mMembers->setStatusNews(
+    mMembers->setStatusExtension(
         {[this](std::uint64_t since, wire::MemberStatus &status) { return putNews(since, status); },
          [this] { return mQuarantine.revision(); },
          [this](const wire::MemberStatus &status) { takeNews(status); }});
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -8,9 +8,9 @@
 
 #include "replicaattempt.h"
 
-#include "directconfig.h"
 #include "jsonlog.h"
 #include "metrics.h"
+#include "operatorconfigservice.h"
 #include "overload.h"
 #include "replicaservice.h"
 
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -9,11 +9,11 @@
 #include "replicaservice.h"
 
 #include "clock.h"
-#include "directconfig.h"
 #include "feedservice.h"
 #include "jsonlog.h"
 #include "memberservice.h"
 #include "metrics.h"
+#include "operatorconfigservice.h"
 #include "overload.h"
 #include "permitservice.h"
 #include "probedchoice.h"
@@ -46,13 +46,13 @@
 } // namespace
 
 ReplicaService::ReplicaService(RecordPort &records, Metrics &metrics,
-                               const DirectSettings &settings)
+                               const MemberSettings &settings)
     : mRecords(records)
     , mMetrics(metrics)
     , mSettings(settings)
     , mBounds(settings.bounds.retries)
     , mBorn(now())
-    , mReplicas(settings.bounds.drainTime, settings.box)
+    , mReplicas(settings.bounds.drainTimeout, settings.box)
 {
 }
 
@@ -65,7 +65,7 @@
         return saysTheSame(known, next);
     });
     setBounds(mSettings.bounds);
-    mConfig = &kernel.find<DirectConfig>(DirectConfig::sName);
+    mConfig = &kernel.find<OperatorConfigService>(OperatorConfigService::sName);
     mAsker = std::make_unique<LoadAsker>(
         kernel, mMetrics,
         [this](const std::string &address, const ReplicaLoad &load) { takeReport(address, load); });
@@ -114,15 +114,15 @@
     mReplicas.put(*record, now());
 }
 
-void ReplicaService::setBounds(const DirectBounds &bounds)
+void ReplicaService::setBounds(const MemberBounds &bounds)
 {
     mBounds = bounds.retries;
     for (auto &[service, budget] : mBudgets) {
         budget.setBounds(mBounds);
     }
-    mReplicas.setDrainTime(bounds.drainTime);
+    mReplicas.setDrainTime(bounds.drainTimeout);
     mFeeds->setReplicasPause(
-        std::clamp(bounds.drainTime / sReadsWhileDraining, sLeastPause, sMostPause));
+        std::clamp(bounds.drainTimeout / sReadsWhileDraining, sLeastPause, sMostPause));
 }
 
 bool ReplicaService::saysTheSame(const FeedRecord &known, const FeedRecord &next) const
@@ -212,7 +212,7 @@
             keepWarm({replica->record.address, replica->patientWaiting});
         }
     }
-    for (const Member &stager : mMembers->watchedStagers()) {
+    for (const Member &stager : mMembers->monitoredStagers()) {
         keepWarm({stager.engine, 0});
     }
 }
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -9,10 +9,10 @@
 #pragma once
 
 #include "callerwaitestimator.h"
-#include "directsettings.h"
 #include "httplink.h"
 #include "kernel.h"
 #include "loadasker.h"
+#include "membersettings.h"
 #include "permitasker.h"
 #include "ports.h"
 #include "refusalratio.h"
@@ -28,7 +28,7 @@
 
 namespace Loom {
 
-class DirectConfig;
+class OperatorConfigService;
 class FeedService;
 class MemberService;
 class Metrics;
@@ -44,14 +44,14 @@
 public:
     static constexpr std::string_view sName = "replicas";
 
-    ReplicaService(RecordPort &records, Metrics &metrics, const DirectSettings &settings);
+    ReplicaService(RecordPort &records, Metrics &metrics, const MemberSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override;
 
     /** Bounds that changed in the life of the process. */
-    void setBounds(const DirectBounds &bounds);
+    void setBounds(const MemberBounds &bounds);
 
     ReplicaSet &replicas() { return mReplicas; }
     /**
@@ -114,7 +114,7 @@
 
     RecordPort &mRecords;
     Metrics &mMetrics;
-    const DirectSettings &mSettings;
+    const MemberSettings &mSettings;
     FeedService *mFeeds = nullptr;
     RetryBounds mBounds;
     Instant mBorn;
@@ -126,7 +126,7 @@
     RefusalRatio mRefused; ///< of all requests
     std::unique_ptr<LoadAsker> mAsker;
     std::unique_ptr<PermitAsker> mPermits;
-    DirectConfig *mConfig = nullptr;
+    OperatorConfigService *mConfig = nullptr;
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/weightstagingservice.cpp
+++ b/src/libloomjunction/gateway/weightstagingservice.cpp
@@ -10,10 +10,10 @@
 
 #include "clock.h"
 #include "digest.h"
-#include "directconfig.h"
 #include "jsonlog.h"
 #include "loadreporter.h"
 #include "metrics.h"
+#include "operatorconfigservice.h"
 #include "peerhub.h"
 
 #include <algorithm>
@@ -82,7 +82,7 @@
 } // namespace
 
 WeightStagingService::WeightStagingService(EnginePort &engine, Metrics &metrics,
-                                           const DirectSettings &settings)
+                                           const MemberSettings &settings)
     : mEngine(engine)
     , mMetrics(metrics)
     , mSettings(settings)
@@ -94,7 +94,7 @@
 
 tl::expected<void, std::string> WeightStagingService::start(Kernel &kernel)
 {
-    mConfig = &kernel.find<DirectConfig>(DirectConfig::sName);
+    mConfig = &kernel.find<OperatorConfigService>(OperatorConfigService::sName);
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mHub = &kernel.find<PeerHub>(PeerHub::sName);
     mReporter = &kernel.find<LoadReporter>(LoadReporter::sName);
@@ -244,7 +244,7 @@
     // An agent that knows no other members would act as the owner of every chunk.
     const Instant membersDeadline = now() + sMembersTimeout;
     while (!mStopped && now() < membersDeadline
-           && mMembers->stagersOf(mStagerSettings.service).size() <= 1) {
+           && mMembers->stagersForService(mStagerSettings.service).size() <= 1) {
         co_await sleepFor(sMembersPollInterval);
     }
     co_await sleepFor(sMembersPollInterval);
@@ -314,10 +314,10 @@
         return true;
     }
     std::vector<std::string> boxes;
-    for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
+    for (const Member &member : mMembers->stagersForService(mStagerSettings.service)) {
         boxes.push_back(member.box);
     }
-    const ReloadSchedule turn(mSettings.bounds.weightsTime);
+    const ReloadSchedule turn(mSettings.bounds.weightsGracePeriod);
     const Instant learnedAt = mConfig->weights().learnedAt(model, version);
     return now()
         >= turn.at(versionKey(model, version), mSettings.box, boxes, learnedAt, mCompleteSince);
@@ -512,7 +512,7 @@
 std::vector<SwarmMember> WeightStagingService::members() const
 {
     std::vector<SwarmMember> all;
-    for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
+    for (const Member &member : mMembers->stagersForService(mStagerSettings.service)) {
         all.push_back({member.box, member.dataCentre});
     }
     return all;
@@ -520,7 +520,7 @@
 
 awaitable<PeerStreamPtr> WeightStagingService::openPeerStream(std::string box, std::string path)
 {
-    for (const Member &member : mMembers->stagersOf(mStagerSettings.service)) {
+    for (const Member &member : mMembers->stagersForService(mStagerSettings.service)) {
         if (member.box == box) {
             co_return co_await mHub->open(member.peers, std::move(path));
         }
--- a/src/libloomjunction/gateway/weightstagingservice.h
+++ b/src/libloomjunction/gateway/weightstagingservice.h
@@ -10,10 +10,10 @@
 
 #include "chunkserver.h"
 #include "chunkstore.h"
-#include "directsettings.h"
 #include "kernel.h"
 #include "manifestexchange.h"
 #include "memberservice.h"
+#include "membersettings.h"
 #include "ports.h"
 #include "reloadschedule.h"
 #include "tokenbucket.h"
@@ -25,7 +25,7 @@
 
 namespace Loom {
 
-class DirectConfig;
+class OperatorConfigService;
 class LoadReporter;
 class Metrics;
 class PeerHub;
@@ -41,7 +41,7 @@
 public:
     static constexpr std::string_view sName = "stage";
 
-    WeightStagingService(EnginePort &engine, Metrics &metrics, const DirectSettings &settings);
+    WeightStagingService(EnginePort &engine, Metrics &metrics, const MemberSettings &settings);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -94,9 +94,9 @@
 
     EnginePort &mEngine;
     Metrics &mMetrics;
-    const DirectSettings &mSettings;
+    const MemberSettings &mSettings;
     const StagerSettings &mStagerSettings;
-    DirectConfig *mConfig = nullptr;
+    OperatorConfigService *mConfig = nullptr;
     MemberService *mMembers = nullptr;
     PeerHub *mHub = nullptr;
     LoadReporter *mReporter = nullptr;
--- a/src/loomjunctiond/directdaemon.cpp
+++ b/src/loomjunctiond/directdaemon.cpp
@@ -9,7 +9,6 @@
 #include "directdaemon.h"
 
 #include "addressserver.h"
-#include "directconfig.h"
 #include "feedservice.h"
 #include "gatewayserver.h"
 #include "jsonlog.h"
@@ -17,6 +16,7 @@
 #include "loopwatch.h"
 #include "memberservice.h"
 #include "metricsserver.h"
+#include "operatorconfigservice.h"
 #include "peerhub.h"
 #include "permitservice.h"
 #include "platform.h"
@@ -57,7 +57,7 @@
 
 } // namespace
 
-DirectDaemon::DirectDaemon(std::string settingsPath, DirectSettings settings)
+DirectDaemon::DirectDaemon(std::string settingsPath, MemberSettings settings)
     : mSettingsPath(std::move(settingsPath))
     , mSettings(std::move(settings))
     , mIncarnation(newIncarnation())
@@ -78,10 +78,10 @@
     mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
     mKernel.add(std::make_unique<FeedService>(*mPorts.store, mSettings.box, preference));
     mKernel.add(std::make_unique<MemberService>(*mPorts.store, mSettings, mIncarnation));
-    mKernel.add(std::make_unique<DirectConfig>(*mPorts.records, mSettings.bounds));
+    mKernel.add(std::make_unique<OperatorConfigService>(*mPorts.records, mSettings.bounds));
     mKernel.find<PeerHub>(PeerHub::sName).countInto(mMetrics);
     mKernel.find<FeedService>(FeedService::sName).countInto(mMetrics);
-    mKernel.find<DirectConfig>(DirectConfig::sName).countInto(mMetrics);
+    mKernel.find<OperatorConfigService>(OperatorConfigService::sName).countInto(mMetrics);
     if (mSettings.isGateway()) {
         addGateway();
     } else {
@@ -151,34 +151,34 @@
 void DirectDaemon::reload(std::string_view cause)
 {
     mSettingsText = textOf(mSettingsPath);
-    const auto settings = loadDirectSettings(mSettingsPath);
+    const auto settings = loadMemberSettings(mSettingsPath);
     if (!settings) {
         logLine(LogLevel::Error, "reload-refused",
                 {{"cause", cause}, {"problem", settings.error()}});
         return;
     }
-    const std::vector<std::string> later = fieldsForRestart(mSettings, *settings);
+    const std::vector<std::string> later = fieldsRequiringRestart(mSettings, *settings);
     mSettings.bounds = settings->bounds;
-    mSettings.losses = settings->losses;
+    mSettings.failureTolerance = settings->failureTolerance;
     mSettings.logLevel = settings->logLevel;
     mSettings.seeds = settings->seeds;
     setLogLevel(mSettings.logLevel);
     mKernel.find<MemberService>(MemberService::sName).setSeeds(mSettings.seeds);
-    mKernel.find<DirectConfig>(DirectConfig::sName).setBounds(mSettings.bounds);
+    mKernel.find<OperatorConfigService>(OperatorConfigService::sName).setBounds(mSettings.bounds);
     if (mSettings.isGateway()) {
         mKernel.find<ReplicaService>(ReplicaService::sName).setBounds(mSettings.bounds);
     }
     logLine(LogLevel::Info, "reloaded",
             {{"cause", cause},
-             {"drainMs", mSettings.bounds.drainTime.count()},
-             {"stopMs", mSettings.bounds.stopTime.count()},
-             {"addressLifetimeMs", mSettings.bounds.addressLifetime.count()},
-             {"weightsMs", mSettings.bounds.weightsTime.count()},
-             {"configMs", mSettings.bounds.configTime.count()},
+             {"drainMs", mSettings.bounds.drainTimeout.count()},
+             {"stopMs", mSettings.bounds.shutdownTimeout.count()},
+             {"addressLifetimeMs", mSettings.bounds.addressTtl.count()},
+             {"weightsMs", mSettings.bounds.weightsGracePeriod.count()},
+             {"configMs", mSettings.bounds.maxConfigAge.count()},
              {"retryRatio", mSettings.bounds.retries.ratio},
              {"retryExtra", mSettings.bounds.retries.extra},
-             {"dataCentresLost", mSettings.losses.dataCentres},
-             {"regionsLost", mSettings.losses.regions},
+             {"dataCentresLost", mSettings.failureTolerance.dataCentres},
+             {"regionsLost", mSettings.failureTolerance.regions},
              {"seeds", mSettings.seeds.size()}});
     for (const std::string &field : later) {
         logLine(LogLevel::Warning, "reload-needs-restart", {{"field", field}});
--- a/src/loomjunctiond/directdaemon.h
+++ b/src/loomjunctiond/directdaemon.h
@@ -8,8 +8,8 @@
 
 #pragma once
 
-#include "directsettings.h"
 #include "kernel.h"
+#include "membersettings.h"
 #include "metrics.h"
 #include "ports.h"
 
@@ -27,7 +27,7 @@
 class DirectDaemon
 {
 public:
-    DirectDaemon(std::string settingsPath, DirectSettings settings);
+    DirectDaemon(std::string settingsPath, MemberSettings settings);
     ~DirectDaemon();
 
     /** Runs until a planned stop has ended; the error tells why it could not start. */
@@ -45,7 +45,7 @@
 
     std::string mSettingsPath;
     asio::io_context mContext{1};
-    DirectSettings mSettings;
+    MemberSettings mSettings;
     std::uint64_t mIncarnation;
     Metrics mMetrics;
     PlatformPorts mPorts;
--- a/src/loomjunctiond/main.cpp
+++ b/src/loomjunctiond/main.cpp
@@ -147,7 +147,7 @@
 // The roles that work with replicas directly; see docs/decisions/0007-platform.md.
 int runDirect(const std::string &path, bool checkOnly)
 {
-    auto settings = loadDirectSettings(path);
+    auto settings = loadMemberSettings(path);
     if (!settings) {
         std::cerr << settings.error() << "\n";
         return sExitSettings;
@@ -177,7 +177,7 @@
     app.add_flag("--check", checkOnly, "only check the settings file");
     CLI11_PARSE(app, argc, argv);
 
-    if (isDirectRole(path)) {
+    if (hasMemberRole(path)) {
         return runDirect(path, checkOnly);
     }
     auto settings = loadDaemonSettings(path);
--- a/tests/gateway/fleetgateway.cpp
+++ b/tests/gateway/fleetgateway.cpp
@@ -16,17 +16,17 @@
 
 namespace {
 
-DirectSettings settingsOf(asio::io_context &context, std::string box)
+MemberSettings settingsOf(asio::io_context &context, std::string box)
 {
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-    DirectSettings settings;
+    MemberSettings settings;
     settings.box = std::move(box);
     settings.dataCentre = "z1";
     settings.region = "r1";
     settings.peers = freeEndpoint(context);
     settings.store = anyPort;
     settings.bounds.retries = {10.0, 100, Milliseconds(1'000)};
-    settings.bounds.configTime = Milliseconds(600'000);
+    settings.bounds.maxConfigAge = Milliseconds(600'000);
     settings.role = GatewaySettings{anyPort, anyPort, anyPort};
     return settings;
 }
@@ -46,7 +46,7 @@
     mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
     mKernel.add(std::make_unique<FeedService>(store, mSettings.box, FeedPreference::Store));
     mKernel.add(std::make_unique<MemberService>(store, mSettings, 1));
-    mKernel.add(std::make_unique<DirectConfig>(mRecords, mSettings.bounds));
+    mKernel.add(std::make_unique<OperatorConfigService>(mRecords, mSettings.bounds));
     mKernel.add(std::make_unique<PermitService>());
     mKernel.add(std::make_unique<ReplicaService>(mRecords, mMetrics, mSettings));
     mKernel.add(std::make_unique<QuarantineService>(store, mMetrics));
@@ -61,7 +61,7 @@
 bool FleetGateway::isReady(std::size_t replicas, std::size_t others)
 {
     const auto &members = mKernel.find<MemberService>(MemberService::sName);
-    const auto places = members.addressPlaces();
+    const auto places = members.otherGateways();
     const auto heard = std::ranges::count_if(places, [](const GatewayAddress &place) {
         return place.availability == GatewayAvailability::Healthy;
     });
--- a/tests/gateway/fleetgateway.h
+++ b/tests/gateway/fleetgateway.h
@@ -36,7 +36,7 @@
     const Metrics &metrics() const { return mMetrics; }
 
 private:
-    DirectSettings mSettings;
+    MemberSettings mSettings;
     Platform::Records mRecords;
     Platform::Calls mCalls;
     Metrics mMetrics;
--- a/tests/gateway/gatewayfixture.cpp
+++ b/tests/gateway/gatewayfixture.cpp
@@ -50,10 +50,10 @@
 
 } // namespace
 
-DirectSettings GatewayFixture::settings()
+MemberSettings GatewayFixture::settings()
 {
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-    DirectSettings settings;
+    MemberSettings settings;
     settings.box = "gateway-1";
     settings.dataCentre = "z1";
     settings.region = "r1";
@@ -62,7 +62,7 @@
     // The retry budget is full from the start; tests of the budget set their own.
     settings.bounds.retries = {10.0, 100, Milliseconds(1'000)};
     // The configuration becomes stale only in tests that lower this limit.
-    settings.bounds.configTime = Milliseconds(600'000);
+    settings.bounds.maxConfigAge = Milliseconds(600'000);
     settings.role = GatewaySettings{anyPort, anyPort, anyPort};
     return settings;
 }
@@ -72,7 +72,7 @@
     mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
     mKernel.add(std::make_unique<FeedService>(store, mSettings.box, FeedPreference::Store));
     mKernel.add(std::make_unique<MemberService>(store, mSettings, 1));
-    mKernel.add(std::make_unique<DirectConfig>(mRecords, mSettings.bounds));
+    mKernel.add(std::make_unique<OperatorConfigService>(mRecords, mSettings.bounds));
     mKernel.find<PeerHub>(PeerHub::sName).countInto(mMetrics);
     feeds().countInto(mMetrics);
     config().countInto(mMetrics);
--- a/tests/gateway/gatewayfixture.h
+++ b/tests/gateway/gatewayfixture.h
@@ -11,11 +11,11 @@
 #include "addressserver.h"
 #include "calls.h"
 #include "clock.h"
-#include "directconfig.h"
 #include "feedservice.h"
 #include "gatewayserver.h"
 #include "memberservice.h"
 #include "metrics.h"
+#include "operatorconfigservice.h"
 #include "peerhub.h"
 #include "permitservice.h"
 #include "quarantineservice.h"
@@ -247,16 +247,19 @@
 
     GatewayServer &front() { return mKernel.find<GatewayServer>(GatewayServer::sName); }
     AddressServer &addresses() { return mKernel.find<AddressServer>(AddressServer::sName); }
-    DirectConfig &config() { return mKernel.find<DirectConfig>(DirectConfig::sName); }
+    OperatorConfigService &config()
+    {
+        return mKernel.find<OperatorConfigService>(OperatorConfigService::sName);
+    }
     FeedService &feeds() { return mKernel.find<FeedService>(FeedService::sName); }
     MemberService &members() { return mKernel.find<MemberService>(MemberService::sName); }
     const Metrics &metrics() const { return mMetrics; }
     ReplicaService &replicas() { return mKernel.find<ReplicaService>(ReplicaService::sName); }
 
 private:
-    static DirectSettings settings();
+    static MemberSettings settings();
 
-    DirectSettings mSettings = settings();
+    MemberSettings mSettings = settings();
     Platform::Records mRecords;
     Platform::Calls mCalls;
     Metrics mMetrics;
--- a/tests/gateway/stagingfixture.h
+++ b/tests/gateway/stagingfixture.h
@@ -115,7 +115,7 @@
         mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
         mKernel.add(std::make_unique<FeedService>(store, mSettings.box, FeedPreference::Store));
         mKernel.add(std::make_unique<MemberService>(store, mSettings, 1));
-        mKernel.add(std::make_unique<DirectConfig>(mRecords, mSettings.bounds));
+        mKernel.add(std::make_unique<OperatorConfigService>(mRecords, mSettings.bounds));
         mKernel.add(std::make_unique<LoadReporter>("127.0.0.1:1"));
         mKernel.add(std::make_unique<WeightStagingService>(engine, mMetrics, mSettings));
     }
@@ -125,23 +125,23 @@
     void start() { BOOST_REQUIRE(mKernel.start().has_value()); }
 
 private:
-    static DirectSettings settings(asio::io_context &context, std::string box)
+    static MemberSettings settings(asio::io_context &context, std::string box)
     {
         const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
         // Members are reached at the address that they record, so it must be a real one.
         Tcp::acceptor free(context, anyPort);
-        DirectSettings settings;
+        MemberSettings settings;
         settings.box = std::move(box);
         settings.dataCentre = "z1";
         settings.region = "r1";
         settings.peers = free.local_endpoint();
         settings.store = anyPort;
-        settings.bounds.weightsTime = Milliseconds(3'000); // reload turns come soon
+        settings.bounds.weightsGracePeriod = Milliseconds(3'000); // reload turns come soon
         settings.role = StagerSettings{"engine", anyPort, 0};
         return settings;
     }
 
-    DirectSettings mSettings;
+    MemberSettings mSettings;
     Platform::Records mRecords;
     Metrics mMetrics;
     Kernel mKernel;
--- a/tests/gateway/test_addresses.cpp
+++ b/tests/gateway/test_addresses.cpp
@@ -65,11 +65,11 @@
     }
 
 private:
-    static DirectSettings settings(GatewayFixture &fixture, std::string dataCentre,
+    static MemberSettings settings(GatewayFixture &fixture, std::string dataCentre,
                                    const std::string &callers)
     {
         const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-        DirectSettings settings;
+        MemberSettings settings;
         settings.box = callers;
         settings.dataCentre = std::move(dataCentre);
         settings.region = "r1";
@@ -79,7 +79,7 @@
         return settings;
     }
 
-    DirectSettings mSettings;
+    MemberSettings mSettings;
     Kernel mKernel;
     bool mIsLeaving = false;
 };
--- a/tests/gateway/test_asking.cpp
+++ b/tests/gateway/test_asking.cpp
@@ -154,7 +154,7 @@
     Tcp::acceptor reserved(context, anyPort);
     const Tcp::endpoint address = reserved.local_endpoint();
     reserved.close();
-    DirectSettings settings;
+    MemberSettings settings;
     settings.box = "box";
     settings.peers = address;
     settings.role = StagerSettings{"engine", anyPort, 0};
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -22,23 +22,24 @@
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
+constexpr std::chrono::seconds sTestTimeout{20};
 constexpr int sDataCentres = 2;
 // Each on a loopback address of its own: no outgoing connection takes its port meanwhile.
-constexpr int sFirstHost = 10;
+constexpr int sFirstHostNumber = 10;
 
 Tcp::endpoint endpointOf(asio::io_context &context, int index)
 {
-    const auto host = asio::ip::make_address_v4("127.0.77." + std::to_string(sFirstHost + index));
+    const auto host
+        = asio::ip::make_address_v4("127.0.77." + std::to_string(sFirstHostNumber + index));
     const Tcp::acceptor acceptor(context, Tcp::endpoint(host, 0));
     return acceptor.local_endpoint();
 }
 
 /** One process of a fleet over a store that all share. */
-class FleetMember
+class TestMember
 {
 public:
-    FleetMember(asio::io_context &context, MemoryStore &store, DirectSettings settings)
+    TestMember(asio::io_context &context, MemoryStore &store, MemberSettings settings)
         : settings(std::move(settings))
         , mStore(store)
         , mKernel(context.get_executor())
@@ -77,7 +78,7 @@
         return mKernel.find<FeedService>(FeedService::sName).book(feed).find(key) != nullptr;
     }
 
-    DirectSettings settings;
+    MemberSettings settings;
     bool isStarted = false;
 
 private:
@@ -86,10 +87,10 @@
 };
 
 /** Gateways and stagers of some data centres that all begin together. */
-class FleetLab
+class ColdStartFixture
 {
 public:
-    FleetLab(int gateways, int stagers)
+    ColdStartFixture(int gateways, int stagers)
     {
         store.fullReadDuration = Milliseconds(200);
         for (int index = 0; index < gateways + stagers; ++index) {
@@ -106,7 +107,7 @@
     }
 
     /** Who reads for its data centre by plan. */
-    FleetMember &firstReader(const std::string &dataCentre)
+    TestMember &firstReader(const std::string &dataCentre)
     {
         std::vector<MemberLocation> places;
         for (const auto &member : members) {
@@ -125,26 +126,26 @@
     }
 
     /** Starts all but @p missing and waits until they know all there is. */
-    void run(const FleetMember *missing = nullptr)
+    void run(const TestMember *missing = nullptr)
     {
-        bool ended = false;
-        const auto whole = [&]() -> awaitable<void> {
+        bool allStarted = false;
+        const auto runMembers = [&]() -> awaitable<void> {
             for (const auto &member : members) {
                 if (member.get() != missing) {
                     member->start();
                 }
             }
-            const auto until = std::chrono::steady_clock::now() + sGenerous;
+            const auto until = std::chrono::steady_clock::now() + sTestTimeout;
             while (!allKnow() && std::chrono::steady_clock::now() < until) {
                 co_await sleepFor(std::chrono::milliseconds(5));
             }
-            ended = allKnow();
+            allStarted = allKnow();
             stop();
             context.stop();
         };
-        asio::co_spawn(context, whole(), asio::detached);
+        asio::co_spawn(context, runMembers(), asio::detached);
         context.run();
-        BOOST_TEST(ended);
+        BOOST_TEST(allStarted);
     }
 
     int fullReadCountByFeed(Feed feed) const
@@ -154,12 +155,12 @@
 
     asio::io_context context{1};
     MemoryStore store{context.get_executor()};
-    std::vector<std::unique_ptr<FleetMember>> members;
+    std::vector<std::unique_ptr<TestMember>> members;
 
 private:
     void add(int index, bool isGateway)
     {
-        DirectSettings settings;
+        MemberSettings settings;
         settings.box = "box-" + std::to_string(index);
         settings.dataCentre = "z" + std::to_string(index % sDataCentres);
         settings.peers = endpointOf(context, index);
@@ -168,7 +169,7 @@
         } else {
             settings.role = StagerSettings{"service", Tcp::endpoint(), 0};
         }
-        members.push_back(std::make_unique<FleetMember>(context, store, std::move(settings)));
+        members.push_back(std::make_unique<TestMember>(context, store, std::move(settings)));
     }
 
     bool allKnow()
@@ -195,17 +196,17 @@
 // After a loss of power everywhere every gateway and stager read the operators' feed in
 // full for itself: 26 reads of 417 KB, 4.2 MB of them to one data centre in two seconds
 // over a link of 3.4 MB a second, and callers' requests waited 1.35 s behind them.
-BOOST_AUTO_TEST_CASE(many_that_begin_together_read_a_large_feed_once_for_each_data_centre)
+BOOST_AUTO_TEST_CASE(members_starting_together_read_a_large_feed_once_per_data_centre)
 {
-    FleetLab lab(8, 6);
+    ColdStartFixture lab(8, 6);
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == sDataCentres);
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Replicas) == sDataCentres);
 }
 
-BOOST_AUTO_TEST_CASE(a_begin_without_its_first_reader_ends_well)
+BOOST_AUTO_TEST_CASE(startup_completes_without_the_first_reader)
 {
-    FleetLab lab(8, 6);
+    ColdStartFixture lab(8, 6);
     lab.run(&lab.firstReader("z0"));
     // The next in turn reads for the others.
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) < static_cast<int>(lab.members.size()) / 2);
@@ -214,23 +215,23 @@
 // An agent knew one seed, which was not there. The members' feed came from the store at
 // the end of the time to begin, and so did the large feed, at all agents at once: six
 // full reads in the same millisecond.
-BOOST_AUTO_TEST_CASE(agents_whose_seeds_are_gone_still_begin_with_gateways)
+BOOST_AUTO_TEST_CASE(agents_with_unreachable_seeds_start_from_gateways)
 {
-    FleetLab lab(8, 6);
-    constexpr int beyondAll = 100;
+    ColdStartFixture lab(8, 6);
+    constexpr int unusedIndex = 100;
     for (const auto &member : lab.members) {
         if (!member->settings.isGateway()) {
-            member->settings.seeds = {endpointOf(lab.context, beyondAll)};
+            member->settings.seeds = {endpointOf(lab.context, unusedIndex)};
         }
     }
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == sDataCentres);
 }
 
-BOOST_AUTO_TEST_CASE(a_begin_with_a_first_reader_that_stands_still_ends_well)
+BOOST_AUTO_TEST_CASE(startup_completes_with_an_unresponsive_first_reader)
 {
-    FleetLab lab(8, 6);
-    FleetMember &silent = lab.firstReader("z1");
+    ColdStartFixture lab(8, 6);
+    TestMember &silent = lab.firstReader("z1");
     std::vector<PeerStreamPtr> kept;
     PeerServer server(lab.context.get_executor(), [&](PeerStreamPtr stream) -> awaitable<void> {
         kept.push_back(std::move(stream));
@@ -243,23 +244,23 @@
 
 // Agents begin while the box of the gateway that they ask first is not there yet. Each then
 // read the members' feed in full: 105 of 111 agents in half a second, over the same links.
-BOOST_AUTO_TEST_CASE(agents_that_begin_learn_the_members_from_gateways)
+BOOST_AUTO_TEST_CASE(starting_agents_read_the_member_feed_from_gateways)
 {
-    FleetLab lab(8, 6);
-    constexpr int beyondAll = 100;
+    ColdStartFixture lab(8, 6);
+    constexpr int unusedIndex = 100;
     for (const auto &member : lab.members) {
         if (!member->settings.isGateway()) {
             member->settings.seeds
-                = {endpointOf(lab.context, beyondAll), lab.members.front()->settings.peers};
+                = {endpointOf(lab.context, unusedIndex), lab.members.front()->settings.peers};
         }
     }
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Members) == 8);
 }
 
-BOOST_AUTO_TEST_CASE(few_gateways_that_begin_each_read_for_themselves)
+BOOST_AUTO_TEST_CASE(each_of_few_starting_gateways_reads_the_store)
 {
-    FleetLab lab(2, 0);
+    ColdStartFixture lab(2, 0);
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == 2);
 }
--- a/tests/gateway/test_feeds.cpp
+++ b/tests/gateway/test_feeds.cpp
@@ -52,7 +52,7 @@
         mKernel.add(std::make_unique<PeerHub>(address));
         mKernel.find<PeerHub>(PeerHub::sName).countInto(metrics);
         // Before the feeds: the store in memory answers while they start.
-        mKernel.add(std::make_unique<DirectConfig>(mRecords, DirectBounds()));
+        mKernel.add(std::make_unique<OperatorConfigService>(mRecords, MemberBounds()));
         mKernel.add(std::make_unique<FeedService>(store, "box", FeedPreference::Store));
         feeds().countInto(metrics);
         config().countInto(metrics);
@@ -67,7 +67,10 @@
     void start() { BOOST_REQUIRE(mKernel.start().has_value()); }
     void stop() { mKernel.stop(); }
     FeedService &feeds() { return mKernel.find<FeedService>(FeedService::sName); }
-    DirectConfig &config() { return mKernel.find<DirectConfig>(DirectConfig::sName); }
+    OperatorConfigService &config()
+    {
+        return mKernel.find<OperatorConfigService>(OperatorConfigService::sName);
+    }
     bool hasConfig(std::uint64_t version)
     {
         return config().table() && config().table()->version() == version;
--- a/tests/gateway/test_gateway.cpp
+++ b/tests/gateway/test_gateway.cpp
@@ -50,8 +50,8 @@
 
 void setWeightsGracePeriod(GatewayFixture &fixture, Milliseconds gracePeriod)
 {
-    DirectBounds bounds;
-    bounds.weightsTime = gracePeriod;
+    MemberBounds bounds;
+    bounds.weightsGracePeriod = gracePeriod;
     fixture.config().setBounds(bounds);
 }
 
@@ -351,8 +351,8 @@
             co_await waitUntilReady(fixture, 1);
             fixture.store.isUnreachable = true;
             co_await fixture.waitFor([&] { return *fixture.feeds().age(Feed::Operators) > bound; });
-            DirectBounds bounds;
-            bounds.configTime = bound;
+            MemberBounds bounds;
+            bounds.maxConfigAge = bound;
             fixture.config().setBounds(bounds);
             auto missing = co_await fixture.call("POST", "/nowhere/a", "id1");
             BOOST_TEST(missing->status == 503);
@@ -361,7 +361,7 @@
             const auto known = co_await fixture.call("POST", "/once/a", "id3");
             BOOST_TEST(known->status == 200);
             // The same configuration is fresh enough under a much higher limit.
-            bounds.configTime = Milliseconds(600'000);
+            bounds.maxConfigAge = Milliseconds(600'000);
             fixture.config().setBounds(bounds);
             missing = co_await fixture.call("POST", "/nowhere/a", "id4");
             BOOST_TEST(missing->status == 404);
@@ -380,8 +380,8 @@
     GatewayFixture fixture;
     fixture.writeConfig(1);
     fixture.run([&]() -> awaitable<void> {
-        DirectBounds bounds;
-        bounds.configTime = bound;
+        MemberBounds bounds;
+        bounds.maxConfigAge = bound;
         fixture.config().setBounds(bounds);
         const auto &requestedWaits
             = fixture.store.requestedWaits[static_cast<std::size_t>(Feed::Operators)];
@@ -410,8 +410,8 @@
         auto response = co_await fixture.call("POST", "/model/a", "id1");
         BOOST_TEST(response->status == 200);
         const int before = forwardedDeadlineMs();
-        DirectBounds bounds;
-        bounds.weightsTime = Milliseconds(weightsMs);
+        MemberBounds bounds;
+        bounds.weightsGracePeriod = Milliseconds(weightsMs);
         fixture.config().setBounds(bounds);
         fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
         co_await fixture.waitFor([&] { return fixture.config().weights().newest("m") == 2; });
--- a/tests/gateway/test_peerhub.cpp
+++ b/tests/gateway/test_peerhub.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
-constexpr std::size_t sLengthBytes = 4; ///< before each message
+constexpr std::chrono::seconds sTestTimeout{20};
+constexpr std::size_t sLengthPrefixBytes = 4; ///< before each message
 
 /** A hub that counts, with a kernel of its own. */
-class HubLab
+class PeerHubFixture
 {
 public:
-    explicit HubLab(asio::io_context &context, Tcp::endpoint address)
+    explicit PeerHubFixture(asio::io_context &context, Tcp::endpoint address)
         : mKernel(context.get_executor())
     {
         mKernel.add(std::make_unique<PeerHub>(std::move(address)));
@@ -52,30 +52,30 @@
         + std::string(dataCentre) + R"(","incarnation":1})";
 }
 
-PeerPlace placeOf(GatewayFixture &lab, std::string_view address)
+PeerLocation locationOf(GatewayFixture &lab, std::string_view address)
 {
-    return lab.members().placeOf(*parseEndpoint(address));
+    return lab.members().locationOf(*parseEndpoint(address));
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(each_end_counts_what_it_sends_by_purpose_and_place)
+BOOST_AUTO_TEST_CASE(each_end_counts_sent_bytes_by_purpose_and_location)
 {
     asio::io_context context{1};
     const Tcp::endpoint address = freeEndpoint(context);
-    HubLab asking(context, freeEndpoint(context));
-    HubLab answering(context, address);
-    asking.hub().setPlaces([&](const Tcp::endpoint &remote) {
-        return remote == address ? PeerPlace::OtherDataCentre : PeerPlace::Unknown;
+    PeerHubFixture asking(context, freeEndpoint(context));
+    PeerHubFixture answering(context, address);
+    asking.hub().setPeerLocator([&](const Tcp::endpoint &remote) {
+        return remote == address ? PeerLocation::OtherDataCentre : PeerLocation::Unknown;
     });
     wire::FollowRequest question;
     question.set_box("asks");
     wire::FollowUpdate answer;
     answer.add_records()->set_value(std::string(100'000, 'x'));
     const auto serve = [&](PeerStreamPtr stream) -> awaitable<void> {
-        const auto deadline = std::chrono::steady_clock::now() + sGenerous;
-        const auto heard = co_await stream->receiveMessage<wire::FollowRequest>(deadline);
-        BOOST_TEST((heard && heard->has_value()));
+        const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
+        const auto received = co_await stream->receiveMessage<wire::FollowRequest>(deadline);
+        BOOST_TEST((received && received->has_value()));
         stream->send(answer);
         stream->finish();
     };
@@ -85,9 +85,9 @@
         const PeerStreamPtr stream = co_await asking.hub().open(address, std::move(path));
         BOOST_REQUIRE(stream);
         stream->send(question);
-        const auto deadline = std::chrono::steady_clock::now() + sGenerous;
-        const auto heard = co_await stream->receiveMessage<wire::FollowUpdate>(deadline);
-        BOOST_TEST((heard && heard->has_value()));
+        const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
+        const auto received = co_await stream->receiveMessage<wire::FollowUpdate>(deadline);
+        BOOST_TEST((received && received->has_value()));
     };
     const auto test = [&]() -> awaitable<void> {
         asking.start();
@@ -104,8 +104,8 @@
     asio::co_spawn(context, test(), asio::detached);
     context.run();
 
-    const std::uint64_t asked = question.ByteSizeLong() + sLengthBytes;
-    const std::uint64_t answered = answer.ByteSizeLong() + sLengthBytes;
+    const std::uint64_t asked = question.ByteSizeLong() + sLengthPrefixBytes;
+    const std::uint64_t answered = answer.ByteSizeLong() + sLengthPrefixBytes;
     BOOST_TEST(asking.metrics.counter("peer_bytes", "chunk, other data centre") == 2 * asked);
     BOOST_TEST(asking.metrics.counter("peer_bytes", "have, other data centre") == asked);
     BOOST_TEST(answering.metrics.counter("peer_bytes", "chunk, data centre unknown")
@@ -114,7 +114,7 @@
     BOOST_TEST_MESSAGE(asking.metrics.text() + answering.metrics.text());
 }
 
-BOOST_AUTO_TEST_CASE(the_place_of_a_process_is_known_by_the_members_on_its_machine)
+BOOST_AUTO_TEST_CASE(peer_location_is_determined_from_the_members_at_its_ip_address)
 {
     GatewayFixture lab;
     const auto write = [&](const std::string &address, std::string_view dataCentre) {
@@ -127,9 +127,9 @@
     lab.run([&]() -> awaitable<void> {
         co_await lab.waitFor([&] { return lab.members().others().size() == 4; });
         // Whoever connects to this process does so from another port.
-        BOOST_TEST((placeOf(lab, "127.0.0.2:40000") == PeerPlace::OwnDataCentre));
-        BOOST_TEST((placeOf(lab, "127.0.0.3:40000") == PeerPlace::OtherDataCentre));
-        BOOST_TEST((placeOf(lab, "127.0.0.4:40000") == PeerPlace::Unknown));
-        BOOST_TEST((placeOf(lab, "127.0.0.5:40000") == PeerPlace::Unknown));
+        BOOST_TEST((locationOf(lab, "127.0.0.2:40000") == PeerLocation::OwnDataCentre));
+        BOOST_TEST((locationOf(lab, "127.0.0.3:40000") == PeerLocation::OtherDataCentre));
+        BOOST_TEST((locationOf(lab, "127.0.0.4:40000") == PeerLocation::Unknown));
+        BOOST_TEST((locationOf(lab, "127.0.0.5:40000") == PeerLocation::Unknown));
     });
 }
--- a/tests/limits/limitfleet.cpp
+++ b/tests/limits/limitfleet.cpp
@@ -35,11 +35,11 @@
         + R"(}],"tenants":[{"name":"t1","api_keys":["k"]}]})";
 }
 
-DirectSettings agentSettings(asio::io_context &context, std::string box,
+MemberSettings agentSettings(asio::io_context &context, std::string box,
                              const LimitedReplica &replica)
 {
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-    DirectSettings settings;
+    MemberSettings settings;
     settings.box = std::move(box);
     settings.dataCentre = "z1";
     settings.region = "r1";
--- a/tests/limits/limitfleet.h
+++ b/tests/limits/limitfleet.h
@@ -57,7 +57,7 @@
     void kill() { mKernel.stop(); }
 
 private:
-    DirectSettings mSettings;
+    MemberSettings mSettings;
     Kernel mKernel;
 };
 
--- a/tests/suspended/test_suspended.cpp
+++ b/tests/suspended/test_suspended.cpp
@@ -75,9 +75,9 @@
     ScriptedReplica &replica = fixture.addReplica("i-1", "engine", succeeds);
     fixture.run([&]() -> awaitable<void> {
         co_await waitUntilReady(fixture);
-        DirectBounds bounds;
-        bounds.weightsTime = Milliseconds(8'000);
-        bounds.configTime = Milliseconds(600'000);
+        MemberBounds bounds;
+        bounds.weightsGracePeriod = Milliseconds(8'000);
+        bounds.maxConfigAge = Milliseconds(600'000);
         fixture.config().setBounds(bounds);
         fixture.store.write(Feed::Operators, "version/m", R"({"model":"m","version":2})");
         co_await fixture.waitFor(
@@ -97,8 +97,8 @@
     fixture.addReplica("i-1", "plain", succeeds);
     fixture.run([&]() -> awaitable<void> {
         co_await waitUntilReady(fixture);
-        DirectBounds bounds;
-        bounds.configTime = Milliseconds(60'000);
+        MemberBounds bounds;
+        bounds.maxConfigAge = Milliseconds(60'000);
         fixture.config().setBounds(bounds);
         const auto before = co_await fixture.call("POST", "/nowhere/a", "id1");
         BOOST_TEST(before->status == 404);
--- a/tests/wholeanswers/test_wholeanswers.cpp
+++ b/tests/wholeanswers/test_wholeanswers.cpp
@@ -162,7 +162,7 @@
                               resumesAfterFirstEvent);
     fixture.run([&]() -> awaitable<void> {
         co_await fixture.waitUntilReady();
-        DirectBounds bounds;
+        MemberBounds bounds;
         bounds.retries = {0, 0, Milliseconds(10'000)};
         fixture.GatewayFixture::replicas().setBounds(bounds);
         const auto response = co_await fixture.call("POST", sPath, "id1");
