--- a/src/libloomjunction/gateway/memberservice.cpp
+++ b/src/libloomjunction/gateway/memberservice.cpp
@@ -26,21 +26,23 @@
 
 constexpr std::string_view sStatusPath = "/gateway-status";
 constexpr Milliseconds sStatusInterval{400};
-// Three states missed: dead, cut off, or standing still.
+// Three missed status messages: the gateway is dead, cut off or suspended.
 constexpr Milliseconds sStatusTimeout{1'300};
 constexpr std::chrono::milliseconds sReconnectDelay{300};
 constexpr std::chrono::milliseconds sRecordRetryDelay{400};
 constexpr std::chrono::milliseconds sFollowCheckInterval{200};
-// A gateway that was not heard for longer than a retry window spends nothing of it.
+// A gateway that was silent for longer than the retry window has used none of that window's
+// retry budget.
 constexpr Milliseconds sPresumedAliveTimeout{15'000};
-// Longer than a restart takes, so that only boxes that stay away are forgotten.
+// Longer than a restart takes, so that only records of boxes that stay away are removed.
 constexpr Milliseconds sRemovalTimeout{5'000};
 constexpr Milliseconds sRemovalStagger{500};
 constexpr std::uint64_t sRemovalSlotCount = 8;
 constexpr std::chrono::milliseconds sRemovalCheckInterval{500};
-// So few gateways read the store for themselves.
+// With fewer gateways than this, each one reads the store itself.
 constexpr std::size_t sMinRelayingGateways = 6;
-// Whom a gateway that begins waits for: the next in turn, if the first is gone.
+// Limits how many preceding readers a starting gateway waits for: the second one reads if the
+// first is down.
 constexpr std::size_t sMaxEarlierReaders = 2;
 constexpr std::string_view sGatewayRole = "gateway";
 constexpr std::string_view sStagerRole = "stager";
@@ -125,8 +127,8 @@
 {
     while (!mStopped && !mIsLeaving && !mIsRecorded) {
         const std::string value = ownRecordValue();
-        const auto done = co_await mStore.put(mKey, value);
-        mIsRecorded = done.has_value();
+        const auto result = co_await mStore.put(mKey, value);
+        mIsRecorded = result.has_value();
         if (mIsRecorded) {
             logLine(LogLevel::Info, "member-recorded",
                     {{"key", mKey}, {"incarnation", mIncarnation}});
@@ -139,19 +141,19 @@
 awaitable<void> MemberService::leave()
 {
     mIsLeaving = true;
-    const auto done = co_await mStore.put(mKey, std::nullopt);
-    logLine(done ? LogLevel::Info : LogLevel::Warning, "member-record-removed",
-            {{"key", mKey}, {"done", done.has_value()}});
+    const auto result = co_await mStore.put(mKey, std::nullopt);
+    logLine(result ? LogLevel::Info : LogLevel::Warning, "member-record-removed",
+            {{"key", mKey}, {"done", result.has_value()}});
 }
 
 void MemberService::applyRecord(const FeedChange &change)
 {
     const std::string &key = change.record.key;
     if (key.starts_with(sQuarantineKeys)) {
-        return; // no member: see QuarantineService
+        return; // not a membership record; QuarantineService handles it
     }
     if (key == mKey) {
-        // A late append of an earlier life must not take this one's record away.
+        // A delayed write of an earlier incarnation must not replace or remove this record.
         const bool isOwn = change.record.value
             && static_cast<std::uint64_t>(
                    jsonInteger(jsonObject(*change.record.value), "incarnation", 0))
@@ -163,14 +165,14 @@
         return;
     }
     if (!change.record.value) {
-        const auto left = mMembers.find(key);
-        const bool wasKnown = left != mMembers.end();
+        const auto removed = mMembers.find(key);
+        const bool wasKnown = removed != mMembers.end();
         if (wasKnown) {
-            const auto agent = mStagerKeyByEngine.find(left->second.engine);
+            const auto agent = mStagerKeyByEngine.find(removed->second.engine);
             if (agent != mStagerKeyByEngine.end() && agent->second == key) {
                 mStagerKeyByEngine.erase(agent);
             }
-            mMembers.erase(left);
+            mMembers.erase(removed);
             ++mMemberChangeCount;
         }
         mFirstSeenAt.erase(key);
@@ -187,9 +189,9 @@
     logLine(LogLevel::Info, "member-came",
             {{"member", key}, {"memberBox", member->box}, {"incarnation", member->incarnation}});
     const auto known = mMembers.find(key);
-    const bool isNewLife
+    const bool isNewIncarnation
         = known == mMembers.end() || known->second.incarnation != member->incarnation;
-    if (isNewLife) {
+    if (isNewIncarnation) {
         mFirstSeenAt[key] = now();
     }
     if (!member->engine.empty()) {
@@ -221,7 +223,8 @@
     return stagers;
 }
 
-// Works out anew what this gateway does for the others, if members came or went.
+// Updates which gateways this one follows, which members it monitors and which gateways read
+// the store, if members have joined or left.
 void MemberService::updatePlan()
 {
     if (mPlannedMemberChangeCount == mMemberChangeCount) {
@@ -236,15 +239,17 @@
     mGatewaysToFollow = plan.gatewaysToFollow();
     mGlobalReaders = plan.readerOrder(ReaderScope::Global);
     mDataCentreReaders = plan.readerOrder(ReaderScope::DataCentre);
-    std::set<std::string> watched = plan.agentsToWatch();
-    watched.insert(mGatewaysToFollow.begin(), mGatewaysToFollow.end());
-    std::erase_if(mMonitoredSince, [&](const auto &item) { return !watched.contains(item.first); });
-    for (const std::string &key : watched) {
+    std::set<std::string> monitored = plan.agentsToWatch();
+    monitored.insert(mGatewaysToFollow.begin(), mGatewaysToFollow.end());
+    std::erase_if(mMonitoredSince,
+                  [&](const auto &item) { return !monitored.contains(item.first); });
+    for (const std::string &key : monitored) {
         mMonitoredSince.try_emplace(key, now());
     }
 }
 
-// The first in order that lives and reaches the store, as far as this gateway knows.
+// Returns the first gateway of the order that is alive and reaches the store, as far as this
+// gateway knows, or this gateway if there is none.
 const std::string &MemberService::selectReader(std::span<const std::string> order) const
 {
     for (const std::string &key : order) {
@@ -261,8 +266,9 @@
     return mKey;
 }
 
-// While this gateway begins it has heard of few, and those that begin with it cannot
-// serve callers yet: one counts as living then unless it said or showed otherwise.
+// A starting gateway has heard from few others, and those that start at the same time can't
+// serve callers yet. During startup another gateway therefore counts as alive unless it is
+// leaving or could not be reached.
 bool MemberService::mayReadStore(const std::string &key) const
 {
     const auto found = mGatewayStates.find(key);
@@ -271,11 +277,12 @@
         return isBeginTime;
     }
     const GatewayState &state = found->second;
-    const bool mayLive = isBeginTime && !state.isUnreachable && !state.isLeaving;
-    return (mayLive || isUsable(state)) && !state.hasStoreFailed;
+    const bool mayBeAlive = isBeginTime && !state.isUnreachable && !state.isLeaving;
+    return (mayBeAlive || isUsable(state)) && !state.hasStoreFailed;
 }
 
-// One that cannot be reached yet may only begin a moment later than this gateway.
+// Includes gateways that can't be reached yet, since they may start a moment later than this
+// one.
 std::vector<Tcp::endpoint> MemberService::earlierReaders() const
 {
     std::vector<Tcp::endpoint> earlier;
@@ -285,9 +292,9 @@
         }
         const auto member = mMembers.find(key);
         const auto state = mGatewayStates.find(key);
-        const bool saidNo = state != mGatewayStates.end()
+        const bool hasDeclined = state != mGatewayStates.end()
             && (state->second.isLeaving || state->second.hasStoreFailed);
-        if (member != mMembers.end() && !saidNo) {
+        if (member != mMembers.end() && !hasDeclined) {
             earlier.push_back(member->second.peers);
         }
     }
@@ -319,26 +326,28 @@
 
 bool MemberService::isOverdue(const std::string &key, const Member &member) const
 {
-    const auto watched = mMonitoredSince.find(key);
-    if (watched == mMonitoredSince.end()) {
+    const auto monitored = mMonitoredSince.find(key);
+    if (monitored == mMonitoredSince.end()) {
         return false;
     }
-    Instant since = watched->second;
-    if (const auto came = mFirstSeenAt.find(key); came != mFirstSeenAt.end()) {
-        since = std::max(since, came->second);
+    Instant since = monitored->second;
+    if (const auto firstSeen = mFirstSeenAt.find(key); firstSeen != mFirstSeenAt.end()) {
+        since = std::max(since, firstSeen->second);
     }
     if (const auto heard = lastHeard(key, member)) {
         since = std::max(since, *heard);
     }
-    // One watcher after the other, so that mostly one writes.
-    const auto turn = static_cast<std::int64_t>(rendezvousWeight(key, mKey) % sRemovalSlotCount);
+    // The gateways that monitor a member act one after the other, so that usually only one of
+    // them writes to the store.
+    const auto slot = static_cast<std::int64_t>(rendezvousWeight(key, mKey) % sRemovalSlotCount);
     return mFailureDetector.isOverdue(member.dataCentre, since, now(),
-                                      sRemovalTimeout + sRemovalStagger * turn);
+                                      sRemovalTimeout + sRemovalStagger * slot);
 }
 
-// A box that is gone for good takes no record away. Members that it stays
-// responsible for would wait for it; so a gateway removes it, if it hears most
-// of the others. One that lives after all records itself anew.
+// A process on a box that fails for good doesn't remove its record, and members for which it
+// stays responsible would keep waiting for it. A gateway therefore removes the records of members
+// that stay silent, unless most of those it monitors are silent: then the gateway itself may be
+// cut off. A member that is alive after all writes its record again.
 awaitable<void> MemberService::removeSilentMembers()
 {
     while (!mStopped && !mIsLeaving) {
@@ -349,14 +358,14 @@
                 overdue.push_back(key);
             }
         }
-        const bool isAlone = 2 * overdue.size() > mMonitoredSince.size();
-        if (isAlone || !mFeeds->isStoreReached(Feed::Members)) {
+        const bool isIsolated = 2 * overdue.size() > mMonitoredSince.size();
+        if (isIsolated || !mFeeds->isStoreReached(Feed::Members)) {
             continue;
         }
         for (const std::string &key : overdue) {
-            const auto done = co_await mStore.put(key, std::nullopt);
+            const auto result = co_await mStore.put(key, std::nullopt);
             logLine(LogLevel::Warning, "member-forgotten",
-                    {{"member", key}, {"done", done.has_value()}});
+                    {{"member", key}, {"done", result.has_value()}});
         }
     }
 }
@@ -381,8 +390,8 @@
     return all;
 }
 
-// Links between data centres are shared by all boxes, so records are relayed
-// within one where possible. Followers spread over the gateways there.
+// All boxes share the links between data centres, so records are relayed within a data centre
+// where possible. Rendezvous hashing distributes the followers over its gateways.
 std::vector<Tcp::endpoint> MemberService::gatewayPeerAddresses() const
 {
     std::vector<Member> heard;
@@ -427,7 +436,7 @@
     return near;
 }
 
-// By the machine alone: whoever connects to this process does so from any port.
+// Compares IP addresses only, since incoming connections come from arbitrary ports.
 PeerLocation MemberService::locationOf(const Tcp::endpoint &remote) const
 {
     bool isNear = false;
@@ -439,7 +448,7 @@
         }
     }
     if (isNear == isFar) {
-        return PeerLocation::Unknown; // no member is there, or members of several
+        return PeerLocation::Unknown; // no member has this address, or both local and remote ones
     }
     return isNear ? PeerLocation::OwnDataCentre : PeerLocation::OtherDataCentre;
 }
@@ -456,8 +465,8 @@
     return places;
 }
 
-// Only some of all gateways are listened to; of one that is, a state is known
-// once it has spoken or could not be reached.
+// This gateway follows only some of the others. The state of a followed gateway is known once
+// it has sent a status message or could not be reached.
 GatewayAvailability MemberService::availabilityOf(const std::string &key) const
 {
     const auto state = mGatewayStates.find(key);
@@ -468,13 +477,13 @@
                                    : GatewayAvailability::Unavailable;
 }
 
-// Calls to the store have a price, and each change would be read by every
-// gateway. So one of all reads it, one of each data centre follows that one, since
-// the links between them are narrow, and the others follow the one near them.
-// Whoever hears nothing from there, or only what is old, reads the store itself.
+// Calls to the store are charged, and every gateway would read each change. So one gateway reads
+// the store for all. One gateway in each other data centre follows it, since the links between
+// data centres are narrow, and the remaining ones follow the gateway of their data centre. A
+// gateway that receives nothing, or only outdated records, reads the store itself.
 FeedReaders MemberService::selectFeedReaders()
 {
-    updatePlan(); // who begins asks before the next scan
+    updatePlan(); // a starting gateway gets here before the first check in followGateways()
     FeedReaders readers;
     if (mGlobalReaders.size() < sMinRelayingGateways) {
         return readers;
@@ -517,19 +526,19 @@
 {
     const GatewayState own = mStatusSource ? mStatusSource() : GatewayState();
     const bool isOwnUsable = own.isReady && !own.isLeaving;
-    std::uint64_t most = isOwnUsable ? rendezvousWeight(key, mKey) : 0;
-    std::optional<Tcp::endpoint> home;
+    std::uint64_t highestWeight = isOwnUsable ? rendezvousWeight(key, mKey) : 0;
+    std::optional<Tcp::endpoint> owner;
     for (const auto &[member, candidate] : mMembers) {
         if (!candidate.isGateway || availabilityOf(member) == GatewayAvailability::Unavailable) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(key, member);
-        if (weight > most) {
-            most = weight;
-            home = candidate.peers;
+        if (weight > highestWeight) {
+            highestWeight = weight;
+            owner = candidate.peers;
         }
     }
-    return home;
+    return owner;
 }
 
 void MemberService::noteChange()
@@ -565,7 +574,7 @@
             const auto status = co_await stream->receiveMessage<wire::MemberStatus>(deadline);
             if (!status || !*status) {
                 stream->reset();
-                stream->connection()->close(); // silent: a new connection finds out sooner
+                stream->connection()->close(); // a new connection detects failures sooner
                 break;
             }
             GatewayState &state = mGatewayStates[key];
@@ -616,16 +625,16 @@
 
 awaitable<void> MemberService::serveStatus(PeerStreamPtr stream)
 {
-    std::uint64_t sentRevision = 0; // whoever follows anew is told all
+    std::uint64_t sentRevision = 0; // a new follower receives the complete data
     while (stream->isOpen() && !mStopped) {
         wire::MemberStatus status = ownStatus();
         sentRevision = mStatusExtension.append ? mStatusExtension.append(sentRevision, status) : 0;
         stream->send(status);
-        const std::uint64_t seen = mStatusChangeCount;
-        const Instant until = now() + sStatusInterval;
-        while (stream->isOpen() && seen == mStatusChangeCount && sentRevision == extensionRevision()
-               && now() < until && !mStopped) {
-            co_await mStatusChanged->waitUntil(steadyTime(until));
+        const std::uint64_t statusChangeCount = mStatusChangeCount;
+        const Instant nextStatusAt = now() + sStatusInterval;
+        while (stream->isOpen() && statusChangeCount == mStatusChangeCount
+               && sentRevision == extensionRevision() && now() < nextStatusAt && !mStopped) {
+            co_await mStatusChanged->waitUntil(steadyTime(nextStatusAt));
         }
     }
 }
--- a/src/libloomjunction/gateway/memberservice.h
+++ b/src/libloomjunction/gateway/memberservice.h
@@ -37,45 +37,46 @@
 enum class PeerLocation : std::uint8_t;
 struct FeedChange;
 
-/** One process of the system, as its record in the store tells. */
+/** A process of the system, as described by its membership record in the store. */
 struct Member
 {
     std::string box;
     std::string dataCentre;
-    std::string region; ///< empty: its record does not tell
+    std::string region; ///< empty if the record names none
     bool isGateway = false;
     Tcp::endpoint peers;
-    std::string callers; ///< of a gateway: IP:PORT where callers connect
-    std::string service; ///< of a stager
-    std::string engine; ///< of a stager: IP:PORT of the replica beside it
+    std::string callers; ///< gateways only: IP:PORT at which callers connect
+    std::string service; ///< stagers only
+    std::string engine; ///< stagers only: IP:PORT of the replica on the same box
     std::uint64_t incarnation = 0;
 };
 
-/** What a gateway heard of another one directly. */
+/** State of another gateway, as received from it directly. */
 struct GatewayState
 {
     bool isReady = false;
     bool isLeaving = false;
     std::uint64_t incarnation = 0;
     std::uint64_t configVersion = 0;
-    bool hasStoreFailed = false; ///< its reads of the store, of late
-    bool isUnreachable = false; ///< the last connection to it failed
+    bool hasStoreFailed = false; ///< its reads of the store have failed recently
+    bool isUnreachable = false; ///< the last connection to it failed or was lost
     std::optional<Instant> heardAt;
 };
 
-/** What another service has gateways tell each other with their states. */
+/** Lets another service add data to the status messages that gateways exchange. */
 struct StatusExtension
 {
-    /** Adds what changed after @p since; gives the count of changes that is told then. */
+    /** Adds the changes after revision @p since to @p status; returns the revision sent. */
     std::function<std::uint64_t(std::uint64_t since, wire::MemberStatus &status)> append;
-    std::function<std::uint64_t()> revision; ///< so far
+    std::function<std::uint64_t()> revision; ///< current revision of the data
+    /** Processes the data in a status message of another gateway. */
     std::function<void(const wire::MemberStatus &status)> apply;
 };
 
 /**
- * Who takes part. Each process puts a record of itself into the store when it
- * starts and takes it away when it leaves; each gateway follows the state of
- * some others over its own links, which tells of dead ones sooner than any list.
+ * Tracks the members of the system. Each process writes a membership record to the store
+ * when it starts and removes it when it leaves. Each gateway also receives status messages
+ * from some other gateways directly, which reveals their failure sooner than the records do.
  */
 class MemberService final : public Service
 {
@@ -89,43 +90,47 @@
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override;
 
-    /** This gateway's own state, told to the others. */
+    /** Sets the source of this gateway's own state, which is sent to the other gateways. */
     void setStatusSource(StatusSource source) { mStatusSource = std::move(source); }
-    /** Told with the own state, and taken from that of others; set before start. */
-    void setStatusExtension(StatusExtension news) { mStatusExtension = std::move(news); }
-    /** Gateways to ask while no other is known. */
+    /** Adds data to the status messages sent and received; must be called before start(). */
+    void setStatusExtension(StatusExtension extension) { mStatusExtension = std::move(extension); }
+    /** Sets the gateways to contact while no other gateway is known. */
     void setSeeds(std::vector<Tcp::endpoint> seeds) { mSettings.seeds = std::move(seeds); }
-    /** Tells the others at once that the own state changed. */
+    /** Sends this gateway's changed state to the other gateways at once. */
     void noteChange();
-    /** Takes the own record away. */
+    /** Removes this process's membership record from the store. */
     awaitable<void> leave();
 
     /** Members other than this process. */
     std::vector<Member> others() const;
+    /** Stagers of @p service, other than this process. */
     std::vector<Member> stagersForService(std::string_view service) const;
-    /** The agent beside the replica at @p engine; nothing: none is known. */
+    /** Peer address of the agent on the box of the replica at @p engine, if one is known. */
     std::optional<Tcp::endpoint> agentFor(const std::string &engine) const;
-    /** Agents whose loss this gateway would have to notice. */
+    /** Agents that this gateway monitors for failure. */
     std::vector<Member> monitoredStagers() const;
-    /** Peer addresses of other gateways: those known, else the seeds. */
+    /**
+     * Peer addresses of the gateways heard recently; if there are none, those of all known
+     * gateways and the seeds.
+     */
     std::vector<Tcp::endpoint> gatewayPeerAddresses() const;
-    /** The other gateways, as callers may or may not use them now. */
+    /** The other gateways with their current availability to callers. */
     std::vector<GatewayAddress> otherGateways() const;
-    /** Which gateways read the store for all. */
+    /** Selects the gateways that read the store on behalf of the others. */
     FeedReaders selectFeedReaders();
-    /** Where the process is that a connection from or to @p remote reaches. */
+    /** Location of the process at the other end of a connection with address @p remote. */
     PeerLocation locationOf(const Tcp::endpoint &remote) const;
-    /** Gateways that may be alive, this one among them. */
+    /** Number of gateways that may be alive, including this one. */
     std::uint32_t gatewayCount() const;
     /**
-     * The gateway that keeps for all what is called @p key; nothing: this one. The same at
-     * all gateways that know the same members and hear the same of them.
+     * Peer address of the gateway that owns @p key on behalf of all; nothing if this process
+     * owns it. Gateways that know the same members in the same states agree on the owner.
      */
     std::optional<Tcp::endpoint> ownerOf(std::string_view key) const;
     std::uint64_t incarnation() const { return mIncarnation; }
-    /** The key of the own record. */
+    /** Key of this process's membership record. */
     const std::string &key() const { return mKey; }
-    /** A stager spoke to this gateway. */
+    /** Notes that a message of the stager with @p key was received. */
     void noteHeard(const std::string &key);
 
 private:
@@ -162,19 +167,19 @@
     StatusExtension mStatusExtension;
     std::map<std::string, Member> mMembers;
     std::map<std::string, GatewayState> mGatewayStates;
-    std::set<std::string> mGatewaysToFollow; ///< gateways whose state is wanted
-    std::set<std::string> mFollowedGateways; ///< gateways that a coroutine follows
-    std::map<std::string, Instant> mStagersHeardAt; ///< stagers, by key
-    std::map<std::string, Instant> mFirstSeenAt; ///< when a record was first seen
-    std::map<std::string, std::string>
-        mStagerKeyByEngine; ///< keys of stagers, by their engine's address
-    std::map<std::string, Instant> mMonitoredSince; ///< whose loss is noticed here, and since when
+    std::set<std::string> mGatewaysToFollow; ///< keys of the gateways whose state is to be followed
+    std::set<std::string> mFollowedGateways; ///< keys of the gateways that a coroutine follows
+    std::map<std::string, Instant> mStagersHeardAt; ///< last message of each stager, by key
+    /** Arrival of the first record of each current incarnation, by key. */
+    std::map<std::string, Instant> mFirstSeenAt;
+    std::map<std::string, std::string> mStagerKeyByEngine; ///< by address of the engine
+    std::map<std::string, Instant> mMonitoredSince; ///< start of monitoring, by key
     MemberFailureDetector mFailureDetector;
     std::uint64_t mMemberChangeCount = 0;
-    std::uint64_t mPlannedMemberChangeCount
-        = 0; ///< mMemberChangeCount when all this was worked out
-    std::vector<std::string> mGlobalReaders; ///< in order
-    std::vector<std::string> mDataCentreReaders; ///< those of this data centre, in order
+    /** Value of mMemberChangeCount at the last update of the plan. */
+    std::uint64_t mPlannedMemberChangeCount = 0;
+    std::vector<std::string> mGlobalReaders; ///< keys, in order of preference
+    std::vector<std::string> mDataCentreReaders; ///< the same for this data centre
     std::unique_ptr<Signal> mStatusChanged;
     std::uint64_t mStatusChangeCount = 0;
     bool mIsRecorded = false;
--- a/src/libloomjunction/gateway/membersettings.cpp
+++ b/src/libloomjunction/gateway/membersettings.cpp
@@ -26,7 +26,7 @@
 constexpr std::string_view sGateway = "gateway";
 constexpr std::string_view sStager = "stager";
 
-// Platforms give bounds as real numbers, since they are worked out from sizes.
+// Platforms specify limits as real numbers, since they compute them from sizes.
 Milliseconds milliseconds(SettingsReader &reader, std::string_view field, Milliseconds defaultValue)
 {
     const auto fallback = static_cast<double>(defaultValue.count());
@@ -36,8 +36,8 @@
 Milliseconds seconds(SettingsReader &reader, std::string_view field, Milliseconds defaultValue)
 {
     const double fallback = static_cast<double>(defaultValue.count()) / sMillisecondsPerSecond;
-    const double found = reader.real(field, 0, sMaxSeconds, fallback);
-    return Milliseconds(std::llround(found * sMillisecondsPerSecond));
+    const double value = reader.real(field, 0, sMaxSeconds, fallback);
+    return Milliseconds(std::llround(value * sMillisecondsPerSecond));
 }
 
 MemberBounds readBounds(SettingsReader reader)
@@ -130,20 +130,20 @@
                                                 const MemberSettings &next)
 {
     std::vector<std::string> fields;
-    const auto note = [&](std::string_view field, bool isSame) {
+    const auto addIfChanged = [&](std::string_view field, bool isSame) {
         if (!isSame) {
             fields.emplace_back(field);
         }
     };
-    note("box", running.box == next.box);
-    note("dataCentre", running.dataCentre == next.dataCentre);
-    note("region", running.region == next.region);
-    note("peers", running.peers == next.peers);
-    note("store", running.store == next.store);
-    note("metrics", running.metrics == next.metrics);
-    note("role", running.role.index() == next.role.index());
+    addIfChanged("box", running.box == next.box);
+    addIfChanged("dataCentre", running.dataCentre == next.dataCentre);
+    addIfChanged("region", running.region == next.region);
+    addIfChanged("peers", running.peers == next.peers);
+    addIfChanged("store", running.store == next.store);
+    addIfChanged("metrics", running.metrics == next.metrics);
+    addIfChanged("role", running.role.index() == next.role.index());
     if (running.role.index() == next.role.index()) {
-        note(running.isGateway() ? sGateway : sStager, running.role == next.role);
+        addIfChanged(running.isGateway() ? sGateway : sStager, running.role == next.role);
     }
     return fields;
 }
--- a/src/libloomjunction/gateway/membersettings.h
+++ b/src/libloomjunction/gateway/membersettings.h
@@ -24,45 +24,45 @@
 
 namespace Loom {
 
-/** Settings of a gateway: an entry that sends requests to replicas directly. */
+/** Settings of a gateway, which accepts requests and sends them to replicas directly. */
 struct GatewaySettings
 {
-    Tcp::endpoint callers; ///< where requests come in
-    Tcp::endpoint readiness; ///< where the platform asks whether it is ready
-    Tcp::endpoint addresses; ///< where callers ask which entries to use
+    Tcp::endpoint callers; ///< listening address for requests
+    Tcp::endpoint readiness; ///< listening address for readiness checks of the platform
+    Tcp::endpoint addresses; ///< listening address at which callers query gateways to use
 
     bool operator==(const GatewaySettings &) const = default;
 };
 
-/** Settings of a stager: an agent beside an engine, out of the requests' path. */
+/** Settings of a stager: an agent on the box of an engine, outside the request path. */
 struct StagerSettings
 {
     std::string service;
     Tcp::endpoint engine;
-    double linkMbit = 0; ///< of this box, each way; 0: no limit
+    double linkMbit = 0; ///< bandwidth of this box in each direction; 0: unlimited
 
     bool operator==(const StagerSettings &) const = default;
 };
 
-/** Bounds that the platform's users hold the system to. */
+/** Time limits and retry limits that the system guarantees to the platform's users. */
 struct MemberBounds
 {
-    Milliseconds drainTimeout{2'000}; ///< a draining replica gets no more after it
+    Milliseconds drainTimeout{2'000}; ///< until a draining replica gets no more requests
     Milliseconds shutdownTimeout{8'000}; ///< from SIGTERM to the end of the process
-    Milliseconds addressTtl{5'000}; ///< most that callers keep an address answer
-    Milliseconds weightsGracePeriod{8'000}; ///< older weights begin no request after it
-    Milliseconds maxConfigAge{2'000}; ///< an older configuration refuses nothing after it
+    Milliseconds addressTtl{5'000}; ///< longest time for which callers cache an address list
+    Milliseconds weightsGracePeriod{8'000}; ///< how long requests may start on older weights
+    Milliseconds maxConfigAge{2'000}; ///< an older configuration refuses no request
     RetryBounds retries;
 };
 
-/** Settings of a process that works without an agent in the requests' path. */
+/** Settings of a gateway or stager, which serve requests without an agent in their path. */
 struct MemberSettings
 {
     std::string box;
     std::string dataCentre;
     std::string region;
-    Tcp::endpoint peers; ///< where other processes of the system reach this one
-    std::vector<Tcp::endpoint> seeds; ///< entries' peer addresses; may be stale
+    Tcp::endpoint peers; ///< listening address for other processes of the system
+    std::vector<Tcp::endpoint> seeds; ///< peer addresses of gateways; may be outdated
     Tcp::endpoint store;
     std::optional<Tcp::endpoint> metrics;
     LogLevel logLevel = LogLevel::Info;
@@ -73,14 +73,14 @@
     bool isGateway() const { return std::holds_alternative<GatewaySettings>(role); }
 };
 
-/** Names of the fields that differ and that a running process cannot take up. */
+/** Names of the changed fields that a running process cannot apply without a restart. */
 std::vector<std::string> fieldsRequiringRestart(const MemberSettings &running,
                                                 const MemberSettings &next);
 
-/** Reads and checks a settings file; the error lists every problem, a line each. */
+/** Reads and validates a settings file; the error lists each problem on a line of its own. */
 tl::expected<MemberSettings, std::string> loadMemberSettings(const std::string &path);
 
-/** Whether the file names one of the roles of MemberSettings. */
+/** Whether the settings file at @p path has the role of a gateway or stager. */
 bool hasMemberRole(const std::string &path);
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/operatorconfigservice.cpp
+++ b/src/libloomjunction/gateway/operatorconfigservice.cpp
@@ -19,21 +19,22 @@
 
 namespace {
 
-// The part of a configuration's bound for which knowledge counts as fresh. A request on
-// its way only makes it older; the rest of the bound is for what ages do not show: a store
-// that lags behind its own confirmation, and a process that stands still between its look
-// at the age and its answer. All well, ages reach 1.1 s (three hops, memory store), under
-// the 1.5 s that this leaves of the shortest bound, 2 s.
+// Fraction of the maximum age up to which the configuration counts as fresh. The age already
+// includes the time that requests for records are in transit. The remaining fraction covers what
+// the age doesn't show: a store that lags behind its own confirmations, and a process that is
+// suspended between checking the age and sending its response. In normal operation ages reach
+// 1.1 s (three hops, in-memory store), less than the 1.5 s that this leaves of the shortest
+// maximum age, 2 s.
 constexpr int sFreshnessNumerator = 3;
 constexpr int sFreshnessDenominator = 4;
-// A quiet store answers a long read after this part of the bound, so that knowledge of a
-// quiet store stays fresh.
+// A long poll of the store returns after the maximum age divided by this number even if nothing
+// has changed, so that the configuration stays fresh while the store is idle.
 constexpr int sReadsPerMaxAge = 2;
-// Nobody knows when a version was named that this process finds at its start:
-// older weights may begin requests for this long after it.
+// The time at which a version was selected is unknown if this process finds it at startup.
+// Requests may start on older weights for this long after that.
 constexpr Milliseconds sInitialWeightsGracePeriod{1'500};
-// Known since some process's start, not since an operator wrote it: such ages, a day,
-// would hide all others.
+// A process that reads a record at startup doesn't know when an operator wrote it and assumes an
+// age of one day. Such ages would hide all others in the metric.
 constexpr Microseconds sMaxObservedAge = std::chrono::hours(12);
 
 } // namespace
@@ -69,7 +70,7 @@
 void OperatorConfigService::applyRecord(const FeedChange &change)
 {
     if (!change.record.value) {
-        return; // what was accepted stays in force
+        return; // an accepted configuration stays active after its record is removed
     }
     const LoopStep step("reading an operators' record");
     auto record = mRecords.operatorRecord(change.record.key, *change.record.value);
@@ -117,8 +118,8 @@
     if (mMetrics == nullptr || change.age >= sMaxObservedAge) {
         return;
     }
-    const std::string_view way = change.way.hops == 0 ? "from the store" : "relayed";
-    mMetrics->observe("config_age_ms", way, static_cast<double>(change.age.count()) / 1'000);
+    const std::string_view source = change.way.hops == 0 ? "from the store" : "relayed";
+    mMetrics->observe("config_age_ms", source, static_cast<double>(change.age.count()) / 1'000);
 }
 
 void OperatorConfigService::applyNamedWeights(const NamedWeights &named, const FeedChange &change)
--- a/src/libloomjunction/gateway/operatorconfigservice.h
+++ b/src/libloomjunction/gateway/operatorconfigservice.h
@@ -23,7 +23,7 @@
 struct FeedChange;
 class Metrics;
 
-/** The operators' configuration and named weights, as this process believes them. */
+/** Holds the operators' configuration and selected weight versions known to this process. */
 class OperatorConfigService final : public Service
 {
 public:
@@ -35,16 +35,16 @@
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
 
-    /** Observes each configuration's age when it is installed as `config_age_ms`. */
+    /** Records the age of each configuration on installation in the metric `config_age_ms`. */
     void countInto(Metrics &metrics) { mMetrics = &metrics; }
 
-    /** The configuration in force; null before the first is known. */
+    /** The active configuration; null until one has been received. */
     const RouteTablePtr &table() const { return mTable; }
     const WeightVersionTracker &weights() const { return mWeights; }
-    /** A route or key that is not in the table may be in a newer one. */
+    /** Whether the table may be outdated, so that a newer one may hold a missing route or key. */
     bool mayBeStale() const;
 
-    /** Calls @p listener after each change of either. */
+    /** Calls @p listener after each change of the configuration or the weight versions. */
     void addListener(Listener listener) { mListeners.push_back(std::move(listener)); }
     void setBounds(const MemberBounds &bounds);
 
@@ -57,7 +57,7 @@
     RecordPort &mRecords;
     MemberBounds mBounds;
     FeedService *mFeeds = nullptr;
-    Metrics *mMetrics = nullptr; ///< null: nothing is observed
+    Metrics *mMetrics = nullptr; ///< null if ages are not recorded
     RouteTablePtr mTable;
     WeightVersionTracker mWeights;
     std::vector<Listener> mListeners;
--- a/src/libloomjunction/gateway/peerhub.cpp
+++ b/src/libloomjunction/gateway/peerhub.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-// Many times the way between the farthest data centres; a lost opening packet
-// is tried again by the caller.
+// Many times the latency between the farthest data centres. If the first packet of a
+// connection is lost, the caller tries again.
 constexpr std::chrono::milliseconds sConnectTimeout{600};
-// Bytes of one stream under way at most. Links are narrow, and what waits on one
-// delays the answers and requests that share it.
+// Limits the bytes of a stream that are in transit. Links are narrow, and data queued on a link
+// delays the requests and responses that share it.
 constexpr std::uint32_t sStreamWindow = 16 * 1024;
 
 PeerLimits peerLimits()
@@ -31,9 +31,9 @@
 
 } // namespace
 
-std::string_view peerLocationName(PeerLocation place)
+std::string_view peerLocationName(PeerLocation location)
 {
-    switch (place) {
+    switch (location) {
     case PeerLocation::Unknown:
         return "data centre unknown";
     case PeerLocation::OwnDataCentre:
@@ -91,16 +91,16 @@
     co_return stream;
 }
 
-// Resolved once a stream: what is sent costs one addition then.
+// Looks up the counter once per stream, so that each send costs only one addition.
 void PeerHub::countBytes(PeerStream &stream) const
 {
     if (mMetrics == nullptr) {
         return;
     }
     const Tcp::endpoint &remote = stream.connection()->remote();
-    const PeerLocation place = mPeerLocator ? mPeerLocator(remote) : PeerLocation::Unknown;
+    const PeerLocation location = mPeerLocator ? mPeerLocator(remote) : PeerLocation::Unknown;
     const std::string purpose = stream.path().substr(1); // paths begin with a slash
-    const std::string label = purpose + ", " + std::string(peerLocationName(place));
+    const std::string label = purpose + ", " + std::string(peerLocationName(location));
     stream.countInto(mMetrics->counted("peer_bytes", label));
 }
 
--- a/src/libloomjunction/gateway/peerhub.h
+++ b/src/libloomjunction/gateway/peerhub.h
@@ -22,16 +22,17 @@
 
 class Metrics;
 
-/** Where the process at the other end of a stream is. */
+/** Location of the process at the other end of a stream, relative to this process. */
 enum class PeerLocation : std::uint8_t
 {
     Unknown,
     OwnDataCentre,
     OtherDataCentre,
 };
-std::string_view peerLocationName(PeerLocation place);
+/** Name of @p location in metric labels. */
+std::string_view peerLocationName(PeerLocation location);
 
-/** Connections to and from the other processes of the system; streams by path. */
+/** Manages the connections to and from other processes, and dispatches streams by path. */
 class PeerHub final : public Service
 {
 public:
@@ -46,17 +47,17 @@
     void stop() override;
 
     /**
-     * Counts the bytes that streams send as `peer_bytes`, by path and place of the
-     * other end; without heads and frames of HTTP/2.
+     * Counts the bytes that streams send in the metric `peer_bytes`, by path and location of
+     * the other end. Excludes the headers and framing of HTTP/2.
      */
     void countInto(Metrics &metrics) { mMetrics = &metrics; }
-    /** Tells places; asked once a stream, without it all are unknown. */
-    void setPeerLocator(PeerLocator locationOf) { mPeerLocator = std::move(locationOf); }
+    /** Sets the function that locates peers, called once per stream. Default: all unknown. */
+    void setPeerLocator(PeerLocator locator) { mPeerLocator = std::move(locator); }
 
     /** Runs @p handler for each stream that another process opens with @p path. */
     void serve(std::string path, PeerStreamHandler handler);
 
-    /** A stream to the process at @p address; null where it cannot be reached. */
+    /** Opens a stream to the process at @p address; null if it cannot be reached. */
     awaitable<PeerStreamPtr> open(Tcp::endpoint address, std::string path);
 
 private:
@@ -64,7 +65,7 @@
     void countBytes(PeerStream &stream) const;
 
     Tcp::endpoint mAddress;
-    Metrics *mMetrics = nullptr; ///< null: nothing is counted
+    Metrics *mMetrics = nullptr; ///< null if bytes are not counted
     PeerLocator mPeerLocator;
     std::unique_ptr<PeerServer> mServer;
     std::map<std::string, PeerStreamHandler, std::less<>> mHandlers;
--- a/tests/gateway/fleetgateway.cpp
+++ b/tests/gateway/fleetgateway.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-MemberSettings settingsOf(asio::io_context &context, std::string box)
+MemberSettings memberSettings(asio::io_context &context, std::string box)
 {
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
     MemberSettings settings;
@@ -40,7 +40,7 @@
 }
 
 FleetGateway::FleetGateway(asio::io_context &context, MemoryStore &store, std::string box)
-    : mSettings(settingsOf(context, std::move(box)))
+    : mSettings(memberSettings(context, std::move(box)))
     , mKernel(context.get_executor())
 {
     mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
@@ -61,12 +61,12 @@
 bool FleetGateway::isReady(std::size_t replicas, std::size_t others)
 {
     const auto &members = mKernel.find<MemberService>(MemberService::sName);
-    const auto places = members.otherGateways();
-    const auto heard = std::ranges::count_if(places, [](const GatewayAddress &place) {
-        return place.availability == GatewayAvailability::Healthy;
+    const auto gateways = members.otherGateways();
+    const auto healthyCount = std::ranges::count_if(gateways, [](const GatewayAddress &gateway) {
+        return gateway.availability == GatewayAvailability::Healthy;
     });
     return mKernel.find<GatewayServer>(GatewayServer::sName).isReady()
-        && static_cast<std::size_t>(heard) >= others
+        && static_cast<std::size_t>(healthyCount) >= others
         && mKernel.find<ReplicaService>(ReplicaService::sName).replicas().all().size() >= replicas;
 }
 
--- a/tests/gateway/fleetgateway.h
+++ b/tests/gateway/fleetgateway.h
@@ -14,18 +14,20 @@
 
 namespace Loom {
 
-/** A port of this machine that nobody uses. */
+/** A loopback endpoint with an unused port. */
 Tcp::endpoint freeEndpoint(asio::io_context &context);
 
-/** One gateway process of several around a store in memory. */
+/** One of several gateways that share an in-memory store. */
 class FleetGateway
 {
 public:
     FleetGateway(asio::io_context &context, MemoryStore &store, std::string box);
 
     void start();
-    /** Ends it as a kill does: it says nothing any more. */
+    /** Stops the gateway as a kill does, without any message to others. */
     void kill() { mKernel.stop(); }
+    /** Whether it is ready and knows at least @p replicas replicas and @p others healthy gateways.
+     */
     bool isReady(std::size_t replicas, std::size_t others);
     Tcp::endpoint callers()
     {
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -24,10 +24,11 @@
 
 constexpr std::chrono::seconds sTestTimeout{20};
 constexpr int sDataCentres = 2;
-// Each on a loopback address of its own: no outgoing connection takes its port meanwhile.
+// Each member has its own loopback address, so that no outgoing connection can take its port
+// before it listens.
 constexpr int sFirstHostNumber = 10;
 
-Tcp::endpoint endpointOf(asio::io_context &context, int index)
+Tcp::endpoint unusedEndpoint(asio::io_context &context, int index)
 {
     const auto host
         = asio::ip::make_address_v4("127.0.77." + std::to_string(sFirstHostNumber + index));
@@ -35,7 +36,7 @@
     return acceptor.local_endpoint();
 }
 
-/** One process of a fleet over a store that all share. */
+/** One of several processes that share a store. */
 class TestMember
 {
 public:
@@ -48,8 +49,8 @@
 
     std::string key() const { return endpointText(settings.peers); }
 
-    /** As it was put there by an earlier life. */
-    void record()
+    /** Writes a membership record to the store, as an earlier incarnation did. */
+    void writeRecord()
     {
         boost::json::object value;
         value["box"] = settings.box;
@@ -73,7 +74,7 @@
 
     void stop() { mKernel.stop(); }
 
-    bool knows(Feed feed, std::string_view key)
+    bool hasRecord(Feed feed, std::string_view key)
     {
         return mKernel.find<FeedService>(FeedService::sName).book(feed).find(key) != nullptr;
     }
@@ -86,7 +87,7 @@
     Kernel mKernel;
 };
 
-/** Gateways and stagers of some data centres that all begin together. */
+/** Gateways and stagers of several data centres that all start at the same time. */
 class ColdStartFixture
 {
 public:
@@ -97,7 +98,7 @@
             add(index, index < gateways);
         }
         for (const auto &member : members) {
-            member->record();
+            member->writeRecord();
             if (!member->settings.isGateway()) {
                 member->settings.seeds = {members.front()->settings.peers};
             }
@@ -106,15 +107,15 @@
         store.write(Feed::Replicas, "replica", "value");
     }
 
-    /** Who reads for its data centre by plan. */
+    /** The first gateway in the order of readers for @p dataCentre. */
     TestMember &firstReader(const std::string &dataCentre)
     {
-        std::vector<MemberLocation> places;
+        std::vector<MemberLocation> locations;
         for (const auto &member : members) {
-            places.push_back(
+            locations.push_back(
                 {member->key(), member->settings.dataCentre, member->settings.isGateway()});
         }
-        const MemberPlan plan({"", dataCentre, true}, places);
+        const MemberPlan plan({"", dataCentre, true}, locations);
         for (const std::string &key : plan.readerOrder(ReaderScope::DataCentre)) {
             const auto found = std::ranges::find_if(
                 members, [&](const auto &member) { return member->key() == key; });
@@ -125,7 +126,7 @@
         return *members.front();
     }
 
-    /** Starts all but @p missing and waits until they know all there is. */
+    /** Starts all members but @p missing and waits until each has received its records. */
     void run(const TestMember *missing = nullptr)
     {
         bool allStarted = false;
@@ -135,11 +136,11 @@
                     member->start();
                 }
             }
-            const auto until = std::chrono::steady_clock::now() + sTestTimeout;
-            while (!allKnow() && std::chrono::steady_clock::now() < until) {
+            const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
+            while (!hasReceivedAll() && std::chrono::steady_clock::now() < deadline) {
                 co_await sleepFor(std::chrono::milliseconds(5));
             }
-            allStarted = allKnow();
+            allStarted = hasReceivedAll();
             stop();
             context.stop();
         };
@@ -163,7 +164,7 @@
         MemberSettings settings;
         settings.box = "box-" + std::to_string(index);
         settings.dataCentre = "z" + std::to_string(index % sDataCentres);
-        settings.peers = endpointOf(context, index);
+        settings.peers = unusedEndpoint(context, index);
         if (isGateway) {
             settings.role = GatewaySettings{};
         } else {
@@ -172,12 +173,13 @@
         members.push_back(std::make_unique<TestMember>(context, store, std::move(settings)));
     }
 
-    bool allKnow()
+    bool hasReceivedAll()
     {
         return std::ranges::all_of(members, [](const auto &member) {
             return !member->isStarted
-                || (member->knows(Feed::Operators, "config")
-                    && (!member->settings.isGateway() || member->knows(Feed::Replicas, "replica")));
+                || (member->hasRecord(Feed::Operators, "config")
+                    && (!member->settings.isGateway()
+                        || member->hasRecord(Feed::Replicas, "replica")));
         });
     }
 
@@ -193,9 +195,9 @@
 
 } // namespace
 
-// After a loss of power everywhere every gateway and stager read the operators' feed in
-// full for itself: 26 reads of 417 KB, 4.2 MB of them to one data centre in two seconds
-// over a link of 3.4 MB a second, and callers' requests waited 1.35 s behind them.
+// After a power failure of all data centres each gateway and stager read the complete operators'
+// feed from the store: 26 reads of 417 KB. 4.2 MB of them went to one data centre within two
+// seconds over a link of 3.4 MB/s and delayed callers' requests by 1.35 s.
 BOOST_AUTO_TEST_CASE(members_starting_together_read_a_large_feed_once_per_data_centre)
 {
     ColdStartFixture lab(8, 6);
@@ -208,20 +210,20 @@
 {
     ColdStartFixture lab(8, 6);
     lab.run(&lab.firstReader("z0"));
-    // The next in turn reads for the others.
+    // The next gateway in the order of readers reads the store for the others.
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) < static_cast<int>(lab.members.size()) / 2);
 }
 
-// An agent knew one seed, which was not there. The members' feed came from the store at
-// the end of the time to begin, and so did the large feed, at all agents at once: six
-// full reads in the same millisecond.
+// Agents whose only seed was unreachable read the members' feed from the store at the end of the
+// startup period, and then the large feed as well, all at once: six full reads in the same
+// millisecond.
 BOOST_AUTO_TEST_CASE(agents_with_unreachable_seeds_start_from_gateways)
 {
     ColdStartFixture lab(8, 6);
     constexpr int unusedIndex = 100;
     for (const auto &member : lab.members) {
         if (!member->settings.isGateway()) {
-            member->settings.seeds = {endpointOf(lab.context, unusedIndex)};
+            member->settings.seeds = {unusedEndpoint(lab.context, unusedIndex)};
         }
     }
     lab.run();
@@ -231,19 +233,19 @@
 BOOST_AUTO_TEST_CASE(startup_completes_with_an_unresponsive_first_reader)
 {
     ColdStartFixture lab(8, 6);
-    TestMember &silent = lab.firstReader("z1");
-    std::vector<PeerStreamPtr> kept;
+    TestMember &unresponsive = lab.firstReader("z1");
+    std::vector<PeerStreamPtr> streams;
     PeerServer server(lab.context.get_executor(), [&](PeerStreamPtr stream) -> awaitable<void> {
-        kept.push_back(std::move(stream));
+        streams.push_back(std::move(stream));
         co_return;
     });
-    BOOST_REQUIRE(server.listen(silent.settings.peers).has_value());
-    lab.run(&silent);
+    BOOST_REQUIRE(server.listen(unresponsive.settings.peers).has_value());
+    lab.run(&unresponsive);
     server.stopListening();
 }
 
-// Agents begin while the box of the gateway that they ask first is not there yet. Each then
-// read the members' feed in full: 105 of 111 agents in half a second, over the same links.
+// Agents that started before the box of their first seed was up read the complete members' feed
+// from the store: 105 of 111 agents did so within half a second, over the same links.
 BOOST_AUTO_TEST_CASE(starting_agents_read_the_member_feed_from_gateways)
 {
     ColdStartFixture lab(8, 6);
@@ -251,7 +253,7 @@
     for (const auto &member : lab.members) {
         if (!member->settings.isGateway()) {
             member->settings.seeds
-                = {endpointOf(lab.context, unusedIndex), lab.members.front()->settings.peers};
+                = {unusedEndpoint(lab.context, unusedIndex), lab.members.front()->settings.peers};
         }
     }
     lab.run();
