--- a/src/libloomjunction/gateway/operatorconfigservice.cpp
+++ b/src/libloomjunction/gateway/operatorconfigservice.cpp
@@ -92,11 +92,11 @@
 void OperatorConfigService::install(RouteConfig config, const FeedChange &change)
 {
     const LoopStep step("installing a configuration");
-    const std::uint64_t previousVersion = mTable ? mTable->version() : 0;
-    const bool isNewer = !mTable || config.version > previousVersion;
+    const std::uint64_t before = mTable ? mTable->version() : 0;
+    const bool isNewer = !mTable || config.version > before;
     logLine(LogLevel::Info, isNewer ? "config-in-force" : "config-passed-over",
             {{"version", config.version},
-             {"before", previousVersion},
+             {"before", before},
              {"offset", change.record.offset},
              {"ageMs", std::chrono::duration_cast<Milliseconds>(change.age).count()},
              {"from", change.way.from},
