--- a/src/libloomjunction/gateway/memberservice.cpp
+++ b/src/libloomjunction/gateway/memberservice.cpp
@@ -25,23 +25,25 @@
 namespace {
 
 constexpr std::string_view sStatusPath = "/gateway-status";
-constexpr Milliseconds sStatusEvery{400};
-// Three states missed: dead, cut off, or standing still.
-constexpr Milliseconds sStatusSilence{1'300};
-constexpr std::chrono::milliseconds sRedialPause{300};
-constexpr std::chrono::milliseconds sRecordRetry{400};
-constexpr std::chrono::milliseconds sScanEvery{200};
-// A gateway that was not heard for longer than a retry window spends nothing of it.
-constexpr Milliseconds sMayBeAlive{15'000};
-// Longer than a restart takes, so that only boxes that stay away are forgotten.
-constexpr Milliseconds sForgetAfter{5'000};
-constexpr Milliseconds sForgetTurn{500};
-constexpr std::uint64_t sForgetTurns = 8;
-constexpr std::chrono::milliseconds sForgetEvery{500};
-// So few gateways read the store for themselves.
-constexpr std::size_t sLeastRelayed = 6;
-// Whom a gateway that begins waits for: the next in turn, if the first is gone.
-constexpr std::size_t sMostEarlier = 2;
+constexpr Milliseconds sStatusInterval{400};
+// Three missed status messages: the gateway is dead, cut off or suspended.
+constexpr Milliseconds sStatusTimeout{1'300};
+constexpr std::chrono::milliseconds sReconnectDelay{300};
+constexpr std::chrono::milliseconds sRecordRetryDelay{400};
+constexpr std::chrono::milliseconds sFollowCheckInterval{200};
+// A gateway that was silent for longer than the retry window has used none of that window's
+// retry budget.
+constexpr Milliseconds sPresumedAliveTimeout{15'000};
+// Longer than a restart takes, so that only records of boxes that stay away are removed.
+constexpr Milliseconds sRemovalTimeout{5'000};
+constexpr Milliseconds sRemovalStagger{500};
+constexpr std::uint64_t sRemovalSlotCount = 8;
+constexpr std::chrono::milliseconds sRemovalCheckInterval{500};
+// With fewer gateways than this, each one reads the store itself.
+constexpr std::size_t sMinRelayingGateways = 6;
+// Limits how many preceding readers a starting gateway waits for: the second one reads if the
+// first is down.
+constexpr std::size_t sMaxEarlierReaders = 2;
 constexpr std::string_view sGatewayRole = "gateway";
 constexpr std::string_view sStagerRole = "stager";
 
@@ -67,13 +69,13 @@
 
 } // namespace
 
-MemberService::MemberService(StorePort &store, const DirectSettings &settings,
+MemberService::MemberService(StorePort &store, const MemberSettings &settings,
                              std::uint64_t incarnation)
     : mStore(store)
     , mSettings(settings)
     , mKey(endpointText(settings.peers))
     , mIncarnation(incarnation)
-    , mSilence(settings.dataCentre, sStatusSilence)
+    , mFailureDetector(settings.dataCentre, sStatusTimeout)
 {
 }
 
@@ -81,17 +83,17 @@
 {
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mHub = &kernel.find<PeerHub>(PeerHub::sName);
-    mChanged = std::make_unique<Signal>(kernel.executor());
-    mFeeds->listen(Feed::Members, [this](const FeedChange &change) { take(change); });
-    mFeeds->setPeers([this] { return gatewayAddresses(); });
-    mHub->setPlaces([this](const Tcp::endpoint &remote) { return placeOf(remote); });
-    asio::co_spawn(kernel.executor(), keepRecord(), asio::detached);
+    mStatusChanged = std::make_unique<Signal>(kernel.executor());
+    mFeeds->listen(Feed::Members, [this](const FeedChange &change) { applyRecord(change); });
+    mFeeds->setPeers([this] { return gatewayPeerAddresses(); });
+    mHub->setPeerLocator([this](const Tcp::endpoint &remote) { return locationOf(remote); });
+    asio::co_spawn(kernel.executor(), publishRecord(), asio::detached);
     if (mSettings.isGateway()) {
-        mFeeds->setReaders([this] { return feedReaders(); });
+        mFeeds->setReaders([this] { return selectFeedReaders(); });
         mHub->serve(std::string(sStatusPath),
                     [this](PeerStreamPtr stream) { return serveStatus(std::move(stream)); });
         asio::co_spawn(kernel.executor(), followGateways(), asio::detached);
-        asio::co_spawn(kernel.executor(), forgetSilent(), asio::detached);
+        asio::co_spawn(kernel.executor(), removeSilentMembers(), asio::detached);
     }
     return {};
 }
@@ -99,10 +101,10 @@
 void MemberService::stop()
 {
     mStopped = true;
-    mChanged->notify();
+    mStatusChanged->notify();
 }
 
-std::string MemberService::ownValue() const
+std::string MemberService::ownRecordValue() const
 {
     boost::json::object value;
     value["box"] = mSettings.box;
@@ -121,59 +123,59 @@
     return boost::json::serialize(value);
 }
 
-awaitable<void> MemberService::keepRecord()
+awaitable<void> MemberService::publishRecord()
 {
     while (!mStopped && !mIsLeaving && !mIsRecorded) {
-        const std::string value = ownValue();
-        const auto done = co_await mStore.put(mKey, value);
-        mIsRecorded = done.has_value();
+        const std::string value = ownRecordValue();
+        const auto result = co_await mStore.put(mKey, value);
+        mIsRecorded = result.has_value();
         if (mIsRecorded) {
             logLine(LogLevel::Info, "member-recorded",
                     {{"key", mKey}, {"incarnation", mIncarnation}});
             co_return;
         }
-        co_await sleepFor(sRecordRetry);
+        co_await sleepFor(sRecordRetryDelay);
     }
 }
 
 awaitable<void> MemberService::leave()
 {
     mIsLeaving = true;
-    const auto done = co_await mStore.put(mKey, std::nullopt);
-    logLine(done ? LogLevel::Info : LogLevel::Warning, "member-record-removed",
-            {{"key", mKey}, {"done", done.has_value()}});
+    const auto result = co_await mStore.put(mKey, std::nullopt);
+    logLine(result ? LogLevel::Info : LogLevel::Warning, "member-record-removed",
+            {{"key", mKey}, {"done", result.has_value()}});
 }
 
-void MemberService::take(const FeedChange &change)
+void MemberService::applyRecord(const FeedChange &change)
 {
     const std::string &key = change.record.key;
     if (key.starts_with(sQuarantineKeys)) {
-        return; // no member: see QuarantineService
+        return; // not a membership record; QuarantineService handles it
     }
     if (key == mKey) {
-        // A late append of an earlier life must not take this one's record away.
+        // A delayed write of an earlier incarnation must not replace or remove this record.
         const bool isOwn = change.record.value
             && static_cast<std::uint64_t>(
                    jsonInteger(jsonObject(*change.record.value), "incarnation", 0))
                 == mIncarnation;
         if (!isOwn && mIsRecorded && !mIsLeaving) {
             mIsRecorded = false;
-            asio::co_spawn(mChanged->executor(), keepRecord(), asio::detached);
+            asio::co_spawn(mStatusChanged->executor(), publishRecord(), asio::detached);
         }
         return;
     }
     if (!change.record.value) {
-        const auto left = mMembers.find(key);
-        const bool wasKnown = left != mMembers.end();
+        const auto removed = mMembers.find(key);
+        const bool wasKnown = removed != mMembers.end();
         if (wasKnown) {
-            const auto agent = mAgents.find(left->second.engine);
-            if (agent != mAgents.end() && agent->second == key) {
-                mAgents.erase(agent);
+            const auto agent = mStagerKeyByEngine.find(removed->second.engine);
+            if (agent != mStagerKeyByEngine.end() && agent->second == key) {
+                mStagerKeyByEngine.erase(agent);
             }
-            mMembers.erase(left);
-            ++mMemberChanges;
+            mMembers.erase(removed);
+            ++mMemberChangeCount;
         }
-        mCameAt.erase(key);
+        mFirstSeenAt.erase(key);
         if (wasKnown) {
             logLine(LogLevel::Info, "member-left", {{"member", key}});
         }
@@ -187,32 +189,32 @@
     logLine(LogLevel::Info, "member-came",
             {{"member", key}, {"memberBox", member->box}, {"incarnation", member->incarnation}});
     const auto known = mMembers.find(key);
-    const bool isNewLife
+    const bool isNewIncarnation
         = known == mMembers.end() || known->second.incarnation != member->incarnation;
-    if (isNewLife) {
-        mCameAt[key] = now();
+    if (isNewIncarnation) {
+        mFirstSeenAt[key] = now();
     }
     if (!member->engine.empty()) {
-        mAgents[member->engine] = key;
+        mStagerKeyByEngine[member->engine] = key;
     }
     mMembers[key] = *member;
-    ++mMemberChanges;
+    ++mMemberChangeCount;
 }
 
-std::optional<Tcp::endpoint> MemberService::agentOf(const std::string &engine) const
+std::optional<Tcp::endpoint> MemberService::agentFor(const std::string &engine) const
 {
-    const auto agent = mAgents.find(engine);
-    if (agent == mAgents.end()) {
+    const auto agent = mStagerKeyByEngine.find(engine);
+    if (agent == mStagerKeyByEngine.end()) {
         return std::nullopt;
     }
     const auto member = mMembers.find(agent->second);
     return member == mMembers.end() ? std::nullopt : std::optional(member->second.peers);
 }
 
-std::vector<Member> MemberService::watchedStagers() const
+std::vector<Member> MemberService::monitoredStagers() const
 {
     std::vector<Member> stagers;
-    for (const auto &[key, since] : mWatched) {
+    for (const auto &[key, since] : mMonitoredSince) {
         const auto member = mMembers.find(key);
         if (member != mMembers.end() && !member->second.isGateway) {
             stagers.push_back(member->second);
@@ -221,31 +223,34 @@
     return stagers;
 }
 
-// Works out anew what this gateway does for the others, if members came or went.
-void MemberService::plan()
+// Updates which gateways this one follows, which members it monitors and which gateways read
+// the store, if members have joined or left.
+void MemberService::updatePlan()
 {
-    if (mPlannedChanges == mMemberChanges) {
+    if (mPlannedMemberChangeCount == mMemberChangeCount) {
         return;
     }
-    mPlannedChanges = mMemberChanges;
+    mPlannedMemberChangeCount = mMemberChangeCount;
     std::vector<MemberLocation> places;
     for (const auto &[key, member] : mMembers) {
         places.push_back({key, member.dataCentre, member.isGateway});
     }
     const MemberPlan plan({mKey, mSettings.dataCentre, true}, places);
-    mToFollow = plan.gatewaysToFollow();
-    mReadersEverywhere = plan.readerOrder(ReaderScope::Global);
-    mReadersNear = plan.readerOrder(ReaderScope::DataCentre);
-    std::set<std::string> watched = plan.agentsToWatch();
-    watched.insert(mToFollow.begin(), mToFollow.end());
-    std::erase_if(mWatched, [&](const auto &item) { return !watched.contains(item.first); });
-    for (const std::string &key : watched) {
-        mWatched.try_emplace(key, now());
+    mGatewaysToFollow = plan.gatewaysToFollow();
+    mGlobalReaders = plan.readerOrder(ReaderScope::Global);
+    mDataCentreReaders = plan.readerOrder(ReaderScope::DataCentre);
+    std::set<std::string> monitored = plan.agentsToWatch();
+    monitored.insert(mGatewaysToFollow.begin(), mGatewaysToFollow.end());
+    std::erase_if(mMonitoredSince,
+                  [&](const auto &item) { return !monitored.contains(item.first); });
+    for (const std::string &key : monitored) {
+        mMonitoredSince.try_emplace(key, now());
     }
 }
 
-// The first in order that lives and reaches the store, as far as this gateway knows.
-const std::string &MemberService::firstReader(std::span<const std::string> order) const
+// Returns the first gateway of the order that is alive and reaches the store, as far as this
+// gateway knows, or this gateway if there is none.
+const std::string &MemberService::selectReader(std::span<const std::string> order) const
 {
     for (const std::string &key : order) {
         if (key == mKey) {
@@ -254,40 +259,42 @@
             }
             continue;
         }
-        if (mMembers.contains(key) && mayRead(key)) {
+        if (mMembers.contains(key) && mayReadStore(key)) {
             return key;
         }
     }
     return mKey;
 }
 
-// While this gateway begins it has heard of few, and those that begin with it cannot
-// serve callers yet: one counts as living then unless it said or showed otherwise.
-bool MemberService::mayRead(const std::string &key) const
+// A starting gateway has heard from few others, and those that start at the same time can't
+// serve callers yet. During startup another gateway therefore counts as alive unless it is
+// leaving or could not be reached.
+bool MemberService::mayReadStore(const std::string &key) const
 {
-    const auto found = mStates.find(key);
+    const auto found = mGatewayStates.find(key);
     const bool isBeginTime = mFeeds->isBeginTime();
-    if (found == mStates.end()) {
+    if (found == mGatewayStates.end()) {
         return isBeginTime;
     }
     const GatewayState &state = found->second;
-    const bool mayLive = isBeginTime && !state.isLost && !state.isLeaving;
-    return (mayLive || isUsable(state)) && !state.hasStoreFailed;
+    const bool mayBeAlive = isBeginTime && !state.isUnreachable && !state.isLeaving;
+    return (mayBeAlive || isUsable(state)) && !state.hasStoreFailed;
 }
 
-// One that cannot be reached yet may only begin a moment later than this gateway.
+// Includes gateways that can't be reached yet, since they may start a moment later than this
+// one.
 std::vector<Tcp::endpoint> MemberService::earlierReaders() const
 {
     std::vector<Tcp::endpoint> earlier;
-    for (const std::string &key : mReadersNear) {
-        if (key == mKey || earlier.size() == sMostEarlier) {
+    for (const std::string &key : mDataCentreReaders) {
+        if (key == mKey || earlier.size() == sMaxEarlierReaders) {
             break;
         }
         const auto member = mMembers.find(key);
-        const auto state = mStates.find(key);
-        const bool saidNo
-            = state != mStates.end() && (state->second.isLeaving || state->second.hasStoreFailed);
-        if (member != mMembers.end() && !saidNo) {
+        const auto state = mGatewayStates.find(key);
+        const bool hasDeclined = state != mGatewayStates.end()
+            && (state->second.isLeaving || state->second.hasStoreFailed);
+        if (member != mMembers.end() && !hasDeclined) {
             earlier.push_back(member->second.peers);
         }
     }
@@ -297,65 +304,68 @@
 std::optional<Instant> MemberService::lastHeard(const std::string &key, const Member &member) const
 {
     if (!member.isGateway) {
-        const auto it = mHeard.find(key);
-        return it == mHeard.end() ? std::nullopt : std::optional(it->second);
+        const auto it = mStagersHeardAt.find(key);
+        return it == mStagersHeardAt.end() ? std::nullopt : std::optional(it->second);
     }
-    const auto it = mStates.find(key);
-    return it == mStates.end() ? std::nullopt : it->second.heardAt;
+    const auto it = mGatewayStates.find(key);
+    return it == mGatewayStates.end() ? std::nullopt : it->second.heardAt;
 }
 
 void MemberService::noteHeard(const std::string &key)
 {
-    mHeard[key] = now();
-    noteHeardFrom(key);
+    mStagersHeardAt[key] = now();
+    noteHeardFromDataCentre(key);
 }
 
-void MemberService::noteHeardFrom(const std::string &key)
+void MemberService::noteHeardFromDataCentre(const std::string &key)
 {
     if (const auto member = mMembers.find(key); member != mMembers.end()) {
-        mSilence.noteHeard(member->second.dataCentre, now());
+        mFailureDetector.noteHeard(member->second.dataCentre, now());
     }
 }
 
 bool MemberService::isOverdue(const std::string &key, const Member &member) const
 {
-    const auto watched = mWatched.find(key);
-    if (watched == mWatched.end()) {
+    const auto monitored = mMonitoredSince.find(key);
+    if (monitored == mMonitoredSince.end()) {
         return false;
     }
-    Instant since = watched->second;
-    if (const auto came = mCameAt.find(key); came != mCameAt.end()) {
-        since = std::max(since, came->second);
+    Instant since = monitored->second;
+    if (const auto firstSeen = mFirstSeenAt.find(key); firstSeen != mFirstSeenAt.end()) {
+        since = std::max(since, firstSeen->second);
     }
     if (const auto heard = lastHeard(key, member)) {
         since = std::max(since, *heard);
     }
-    // One watcher after the other, so that mostly one writes.
-    const auto turn = static_cast<std::int64_t>(rendezvousWeight(key, mKey) % sForgetTurns);
-    return mSilence.isOverdue(member.dataCentre, since, now(), sForgetAfter + sForgetTurn * turn);
+    // The gateways that monitor a member act one after the other, so that usually only one of
+    // them writes to the store.
+    const auto slot = static_cast<std::int64_t>(rendezvousWeight(key, mKey) % sRemovalSlotCount);
+    return mFailureDetector.isOverdue(member.dataCentre, since, now(),
+                                      sRemovalTimeout + sRemovalStagger * slot);
 }
 
-// A box that is gone for good takes no record away. Members that it stays
-// responsible for would wait for it; so a gateway removes it, if it hears most
-// of the others. One that lives after all records itself anew.
-awaitable<void> MemberService::forgetSilent()
+// A process on a box that fails for good doesn't remove its record, and members for which it
+// stays responsible would keep waiting for it. A gateway therefore removes the records of members
+// that stay silent, unless most of those it monitors are silent: then the gateway itself may be
+// cut off. A member that is alive after all writes its record again.
+awaitable<void> MemberService::removeSilentMembers()
 {
     while (!mStopped && !mIsLeaving) {
-        co_await sleepFor(sForgetEvery);
+        co_await sleepFor(sRemovalCheckInterval);
         std::vector<std::string> overdue;
         for (const auto &[key, member] : mMembers) {
             if (isOverdue(key, member)) {
                 overdue.push_back(key);
             }
         }
-        const bool isAlone = 2 * overdue.size() > mWatched.size();
-        if (isAlone || !mFeeds->isStoreReached(Feed::Members)) {
+        const bool isIsolated = 2 * overdue.size() > mMonitoredSince.size();
+        if (isIsolated || !mFeeds->isStoreReached(Feed::Members)) {
             continue;
         }
         for (const std::string &key : overdue) {
-            const auto done = co_await mStore.put(key, std::nullopt);
+            const auto result = co_await mStore.put(key, std::nullopt);
             logLine(LogLevel::Warning, "member-forgotten",
-                    {{"member", key}, {"done", done.has_value()}});
+                    {{"member", key}, {"done", result.has_value()}});
         }
     }
 }
@@ -369,7 +379,7 @@
     return all;
 }
 
-std::vector<Member> MemberService::stagersOf(std::string_view service) const
+std::vector<Member> MemberService::stagersForService(std::string_view service) const
 {
     std::vector<Member> all;
     for (const auto &[key, member] : mMembers) {
@@ -380,9 +390,9 @@
     return all;
 }
 
-// Links between data centres are shared by all boxes, so records are relayed
-// within one where possible. Followers spread over the gateways there.
-std::vector<Tcp::endpoint> MemberService::gatewayAddresses() const
+// All boxes share the links between data centres, so records are relayed within a data centre
+// where possible. Rendezvous hashing distributes the followers over its gateways.
+std::vector<Tcp::endpoint> MemberService::gatewayPeerAddresses() const
 {
     std::vector<Member> heard;
     std::vector<Member> all;
@@ -391,13 +401,13 @@
             continue;
         }
         all.push_back(member);
-        const auto it = mStates.find(key);
-        if (it != mStates.end() && it->second.heardAt
-            && now() - *it->second.heardAt < sStatusSilence) {
+        const auto it = mGatewayStates.find(key);
+        if (it != mGatewayStates.end() && it->second.heardAt
+            && now() - *it->second.heardAt < sStatusTimeout) {
             heard.push_back(member);
         }
     }
-    std::vector<Tcp::endpoint> addresses = nearFirst(heard.empty() ? all : heard);
+    std::vector<Tcp::endpoint> addresses = localDataCentreFirst(heard.empty() ? all : heard);
     if (!heard.empty()) {
         return addresses;
     }
@@ -409,7 +419,8 @@
     return addresses;
 }
 
-std::vector<Tcp::endpoint> MemberService::nearFirst(std::span<const Member> members) const
+std::vector<Tcp::endpoint>
+MemberService::localDataCentreFirst(std::span<const Member> members) const
 {
     std::vector<std::string> keys;
     for (const Member &member : members) {
@@ -425,8 +436,8 @@
     return near;
 }
 
-// By the machine alone: whoever connects to this process does so from any port.
-PeerPlace MemberService::placeOf(const Tcp::endpoint &remote) const
+// Compares IP addresses only, since incoming connections come from arbitrary ports.
+PeerLocation MemberService::locationOf(const Tcp::endpoint &remote) const
 {
     bool isNear = false;
     bool isFar = false;
@@ -437,53 +448,54 @@
         }
     }
     if (isNear == isFar) {
-        return PeerPlace::Unknown; // no member is there, or members of several
+        return PeerLocation::Unknown; // no member has this address, or both local and remote ones
     }
-    return isNear ? PeerPlace::OwnDataCentre : PeerPlace::OtherDataCentre;
+    return isNear ? PeerLocation::OwnDataCentre : PeerLocation::OtherDataCentre;
 }
 
-std::vector<GatewayAddress> MemberService::addressPlaces() const
+std::vector<GatewayAddress> MemberService::otherGateways() const
 {
     std::vector<GatewayAddress> places;
     for (const auto &[key, member] : mMembers) {
         if (member.isGateway) {
-            places.push_back({member.callers, member.dataCentre, member.region, standingOf(key)});
+            places.push_back(
+                {member.callers, member.dataCentre, member.region, availabilityOf(key)});
         }
     }
     return places;
 }
 
-// Only some of all gateways are listened to; of one that is, a state is known
-// once it has spoken or could not be reached.
-GatewayAvailability MemberService::standingOf(const std::string &key) const
+// This gateway follows only some of the others. The state of a followed gateway is known once
+// it has sent a status message or could not be reached.
+GatewayAvailability MemberService::availabilityOf(const std::string &key) const
 {
-    const auto state = mStates.find(key);
-    if (state == mStates.end()) {
+    const auto state = mGatewayStates.find(key);
+    if (state == mGatewayStates.end()) {
         return GatewayAvailability::Unmonitored;
     }
     return isUsable(state->second) ? GatewayAvailability::Healthy
                                    : GatewayAvailability::Unavailable;
 }
 
-// Calls to the store have a price, and each change would be read by every
-// gateway. So one of all reads it, one of each data centre follows that one, since
-// the links between them are narrow, and the others follow the one near them.
-// Whoever hears nothing from there, or only what is old, reads the store itself.
-FeedReaders MemberService::feedReaders()
+// Calls to the store are charged, and every gateway would read each change. So one gateway reads
+// the store for all. One gateway in each other data centre follows it, since the links between
+// data centres are narrow, and the remaining ones follow the gateway of their data centre. A
+// gateway that receives nothing, or only outdated records, reads the store itself.
+FeedReaders MemberService::selectFeedReaders()
 {
-    plan(); // who begins asks before the next scan
+    updatePlan(); // a starting gateway gets here before the first check in followGateways()
     FeedReaders readers;
-    if (mReadersEverywhere.size() < sLeastRelayed) {
+    if (mGlobalReaders.size() < sMinRelayingGateways) {
         return readers;
     }
     readers.isRelayed = true;
     readers.earlier = earlierReaders();
-    const std::string &reader = firstReader(mReadersEverywhere);
+    const std::string &reader = selectReader(mGlobalReaders);
     readers.isReader = reader == mKey;
     if (readers.isReader) {
         return readers;
     }
-    const std::string &near = firstReader(mReadersNear);
+    const std::string &near = selectReader(mDataCentreReaders);
     const std::string &followed = near == mKey ? reader : near;
     readers.others.push_back(mMembers.find(followed)->second.peers);
     return readers;
@@ -491,7 +503,7 @@
 
 bool MemberService::isUsable(const GatewayState &state)
 {
-    const bool isHeard = state.heardAt && now() - *state.heardAt < sStatusSilence;
+    const bool isHeard = state.heardAt && now() - *state.heardAt < sStatusTimeout;
     return isHeard && state.isReady && !state.isLeaving;
 }
 
@@ -502,70 +514,70 @@
         if (!member.isGateway) {
             continue;
         }
-        const auto it = mStates.find(key);
-        const bool isSilent = it != mStates.end() && it->second.heardAt
-            && now() - *it->second.heardAt > sMayBeAlive;
+        const auto it = mGatewayStates.find(key);
+        const bool isSilent = it != mGatewayStates.end() && it->second.heardAt
+            && now() - *it->second.heardAt > sPresumedAliveTimeout;
         count += isSilent ? 0 : 1;
     }
     return count;
 }
 
-std::optional<Tcp::endpoint> MemberService::homeOf(std::string_view key) const
+std::optional<Tcp::endpoint> MemberService::ownerOf(std::string_view key) const
 {
-    const GatewayState own = mStatus ? mStatus() : GatewayState();
+    const GatewayState own = mStatusSource ? mStatusSource() : GatewayState();
     const bool isOwnUsable = own.isReady && !own.isLeaving;
-    std::uint64_t most = isOwnUsable ? rendezvousWeight(key, mKey) : 0;
-    std::optional<Tcp::endpoint> home;
-    for (const auto &[member, told] : mMembers) {
-        if (!told.isGateway || standingOf(member) == GatewayAvailability::Unavailable) {
+    std::uint64_t highestWeight = isOwnUsable ? rendezvousWeight(key, mKey) : 0;
+    std::optional<Tcp::endpoint> owner;
+    for (const auto &[member, candidate] : mMembers) {
+        if (!candidate.isGateway || availabilityOf(member) == GatewayAvailability::Unavailable) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(key, member);
-        if (weight > most) {
-            most = weight;
-            home = told.peers;
+        if (weight > highestWeight) {
+            highestWeight = weight;
+            owner = candidate.peers;
         }
     }
-    return home;
+    return owner;
 }
 
 void MemberService::noteChange()
 {
-    ++mStatusChanges;
-    mChanged->notify();
+    ++mStatusChangeCount;
+    mStatusChanged->notify();
 }
 
 awaitable<void> MemberService::followGateways()
 {
     while (!mStopped) {
-        plan();
-        for (const std::string &key : mToFollow) {
-            if (mFollowed.insert(key).second) {
-                asio::co_spawn(mChanged->executor(), followGateway(key), asio::detached);
+        updatePlan();
+        for (const std::string &key : mGatewaysToFollow) {
+            if (mFollowedGateways.insert(key).second) {
+                asio::co_spawn(mStatusChanged->executor(), followGateway(key), asio::detached);
             }
         }
-        co_await sleepFor(sScanEvery);
+        co_await sleepFor(sFollowCheckInterval);
     }
 }
 
 awaitable<void> MemberService::followGateway(std::string key)
 {
-    while (!mStopped && mToFollow.contains(key)) {
+    while (!mStopped && mGatewaysToFollow.contains(key)) {
         const Tcp::endpoint address = mMembers[key].peers;
         const PeerStreamPtr stream = co_await mHub->open(address, std::string(sStatusPath));
         while (stream && !mStopped) {
-            if (!mToFollow.contains(key)) {
+            if (!mGatewaysToFollow.contains(key)) {
                 stream->reset();
                 break;
             }
-            const auto deadline = std::chrono::steady_clock::now() + sStatusSilence;
+            const auto deadline = std::chrono::steady_clock::now() + sStatusTimeout;
             const auto status = co_await stream->receiveMessage<wire::MemberStatus>(deadline);
             if (!status || !*status) {
                 stream->reset();
-                stream->connection()->close(); // silent: a new connection finds out sooner
+                stream->connection()->close(); // a new connection detects failures sooner
                 break;
             }
-            GatewayState &state = mStates[key];
+            GatewayState &state = mGatewayStates[key];
             const bool wasReady = state.isReady && !state.isLeaving;
             state.isReady = (*status)->ready();
             state.isLeaving = (*status)->leaving();
@@ -573,10 +585,10 @@
             state.configVersion = (*status)->config_version();
             state.hasStoreFailed = (*status)->store_failed();
             state.heardAt = now();
-            state.isLost = false;
-            noteHeardFrom(key);
-            if (mNews.take) {
-                mNews.take(**status);
+            state.isUnreachable = false;
+            noteHeardFromDataCentre(key);
+            if (mStatusExtension.apply) {
+                mStatusExtension.apply(**status);
             }
             if (wasReady != (state.isReady && !state.isLeaving)) {
                 logLine(LogLevel::Info, "gateway-state",
@@ -586,21 +598,21 @@
                          {"incarnation", state.incarnation}});
             }
         }
-        GatewayState &state = mStates[key];
-        state.isLost = true;
+        GatewayState &state = mGatewayStates[key];
+        state.isUnreachable = true;
         if (state.isReady) {
             logLine(LogLevel::Warning, "gateway-lost", {{"member", key}});
             state.isReady = false;
         }
-        co_await sleepFor(sRedialPause);
+        co_await sleepFor(sReconnectDelay);
     }
-    mStates.erase(key);
-    mFollowed.erase(key);
+    mGatewayStates.erase(key);
+    mFollowedGateways.erase(key);
 }
 
 wire::MemberStatus MemberService::ownStatus() const
 {
-    const GatewayState state = mStatus ? mStatus() : GatewayState();
+    const GatewayState state = mStatusSource ? mStatusSource() : GatewayState();
     wire::MemberStatus status;
     status.set_box(mSettings.box);
     status.set_incarnation(mIncarnation);
@@ -613,16 +625,16 @@
 
 awaitable<void> MemberService::serveStatus(PeerStreamPtr stream)
 {
-    std::uint64_t toldNews = 0; // whoever follows anew is told all
+    std::uint64_t sentRevision = 0; // a new follower receives the complete data
     while (stream->isOpen() && !mStopped) {
         wire::MemberStatus status = ownStatus();
-        toldNews = mNews.put ? mNews.put(toldNews, status) : 0;
+        sentRevision = mStatusExtension.append ? mStatusExtension.append(sentRevision, status) : 0;
         stream->send(status);
-        const std::uint64_t seen = mStatusChanges;
-        const Instant until = now() + sStatusEvery;
-        while (stream->isOpen() && seen == mStatusChanges && toldNews == newsChanges()
-               && now() < until && !mStopped) {
-            co_await mChanged->waitUntil(steadyTime(until));
+        const std::uint64_t statusChangeCount = mStatusChangeCount;
+        const Instant nextStatusAt = now() + sStatusInterval;
+        while (stream->isOpen() && statusChangeCount == mStatusChangeCount
+               && sentRevision == extensionRevision() && now() < nextStatusAt && !mStopped) {
+            co_await mStatusChanged->waitUntil(steadyTime(nextStatusAt));
         }
     }
 }
--- /dev/null
+++ b/src/libloomjunction/gateway/operatorconfigservice.cpp
@@ -0,0 +1,140 @@
+/*
+ * operatorconfigservice.cpp
+ * Copyright 2026, the loomjunction authors
+ *
+ * This file is part of loomjunction (libloomjunction).
+ * SPDX-License-Identifier: BSD-2-Clause
+ */
+
+#include "operatorconfigservice.h"
+
+#include "clock.h"
+#include "feedservice.h"
+#include "jsonlog.h"
+#include "loopstep.h"
+#include "metrics.h"
+#include "overload.h"
+
+namespace Loom {
+
+namespace {
+
+// Fraction of the maximum age up to which the configuration counts as fresh. The age already
+// includes the time that requests for records are in transit. The remaining fraction covers what
+// the age doesn't show: a store that lags behind its own confirmations, and a process that is
+// suspended between checking the age and sending its response. In normal operation ages reach
+// 1.1 s (three hops, in-memory store), less than the 1.5 s that this leaves of the shortest
+// maximum age, 2 s.
+constexpr int sFreshnessNumerator = 3;
+constexpr int sFreshnessDenominator = 4;
+// A long poll of the store returns after the maximum age divided by this number even if nothing
+// has changed, so that the configuration stays fresh while the store is idle.
+constexpr int sReadsPerMaxAge = 2;
+// The time at which a version was selected is unknown if this process finds it at startup.
+// Requests may start on older weights for this long after that.
+constexpr Milliseconds sInitialWeightsGracePeriod{1'500};
+// A process that reads a record at startup doesn't know when an operator wrote it and assumes an
+// age of one day. Such ages would hide all others in the metric.
+constexpr Microseconds sMaxObservedAge = std::chrono::hours(12);
+
+} // namespace
+
+OperatorConfigService::OperatorConfigService(RecordPort &records, const MemberBounds &bounds)
+    : mRecords(records)
+    , mBounds(bounds)
+    , mWeights(bounds.weightsGracePeriod)
+{
+}
+
+tl::expected<void, std::string> OperatorConfigService::start(Kernel &kernel)
+{
+    mFeeds = &kernel.find<FeedService>(FeedService::sName);
+    mFeeds->listen(Feed::Operators, [this](const FeedChange &change) { applyRecord(change); });
+    setBounds(mBounds);
+    return {};
+}
+
+void OperatorConfigService::setBounds(const MemberBounds &bounds)
+{
+    mBounds = bounds;
+    mWeights.setGracePeriod(bounds.weightsGracePeriod);
+    mFeeds->setOperatorsWait(bounds.maxConfigAge / sReadsPerMaxAge);
+}
+
+bool OperatorConfigService::mayBeStale() const
+{
+    const auto age = mFeeds->age(Feed::Operators);
+    return !age || *age > mBounds.maxConfigAge * sFreshnessNumerator / sFreshnessDenominator;
+}
+
+void OperatorConfigService::applyRecord(const FeedChange &change)
+{
+    if (!change.record.value) {
+        return; // an accepted configuration stays active after its record is removed
+    }
+    const LoopStep step("reading an operators' record");
+    auto record = mRecords.operatorRecord(change.record.key, *change.record.value);
+    if (!record) {
+        logLine(LogLevel::Error, "operator-record-refused",
+                {{"key", change.record.key},
+                 {"offset", change.record.offset},
+                 {"problem", record.error()}});
+        return;
+    }
+    std::visit(Overload{
+                   [&](RouteConfig &config) { install(std::move(config), change); },
+                   [&](const NamedWeights &named) { applyNamedWeights(named, change); },
+                   [](const UnrelatedRecord &) {},
+               },
+               *record);
+}
+
+void OperatorConfigService::install(RouteConfig config, const FeedChange &change)
+{
+    const LoopStep step("installing a configuration");
+    const std::uint64_t before = mTable ? mTable->version() : 0;
+    const bool isNewer = !mTable || config.version > before;
+    logLine(LogLevel::Info, isNewer ? "config-in-force" : "config-passed-over",
+            {{"version", config.version},
+             {"before", before},
+             {"offset", change.record.offset},
+             {"ageMs", std::chrono::duration_cast<Milliseconds>(change.age).count()},
+             {"from", change.way.from},
+             {"hops", change.way.hops},
+             {"routes", config.routes.size()},
+             {"accounts", config.accounts.size()}});
+    if (!isNewer) {
+        return;
+    }
+    observeAge(change);
+    mTable = std::make_shared<const RouteTable>(std::move(config));
+    for (const Listener &listener : mListeners) {
+        listener();
+    }
+}
+
+void OperatorConfigService::observeAge(const FeedChange &change)
+{
+    if (mMetrics == nullptr || change.age >= sMaxObservedAge) {
+        return;
+    }
+    const std::string_view source = change.way.hops == 0 ? "from the store" : "relayed";
+    mMetrics->observe("config_age_ms", source, static_cast<double>(change.age.count()) / 1'000);
+}
+
+void OperatorConfigService::applyNamedWeights(const NamedWeights &named, const FeedChange &change)
+{
+    const Microseconds maxAge = mBounds.weightsGracePeriod - sInitialWeightsGracePeriod;
+    const Microseconds age = std::min(change.age, maxAge);
+    mWeights.name(named.model, named.version, now() - age);
+    logLine(LogLevel::Info, "weights-named",
+            {{"model", named.model},
+             {"version", named.version},
+             {"offset", change.record.offset},
+             {"ageMs", std::chrono::duration_cast<Milliseconds>(change.age).count()}});
+    for (const Listener &listener : mListeners) {
+        listener();
+    }
+}
+
+} // namespace Loom
--- a/src/libloomjunction/gateway/directconfig.h
+++ b/src/libloomjunction/gateway/operatorconfigservice.h
@@ -1,5 +1,5 @@
 /*
- * directconfig.h
+ * operatorconfigservice.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -8,8 +8,8 @@
 
 #pragma once
 
-#include "directsettings.h"
 #include "kernel.h"
+#include "membersettings.h"
 #include "ports.h"
 #include "routetable.h"
 #include "weightversiontracker.h"
@@ -23,41 +23,41 @@
 struct FeedChange;
 class Metrics;
 
-/** The operators' configuration and named weights, as this process believes them. */
-class DirectConfig final : public Service
+/** Holds the operators' configuration and selected weight versions known to this process. */
+class OperatorConfigService final : public Service
 {
 public:
     static constexpr std::string_view sName = "direct-config";
     using Listener = std::function<void()>;
 
-    DirectConfig(RecordPort &records, const DirectBounds &bounds);
+    OperatorConfigService(RecordPort &records, const MemberBounds &bounds);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
 
-    /** Observes each configuration's age when it is installed as `config_age_ms`. */
+    /** Records the age of each configuration on installation in the metric `config_age_ms`. */
     void countInto(Metrics &metrics) { mMetrics = &metrics; }
 
-    /** The configuration in force; null before the first is known. */
+    /** The active configuration; null until one has been received. */
     const RouteTablePtr &table() const { return mTable; }
     const WeightVersionTracker &weights() const { return mWeights; }
-    /** A route or key that is not in the table may be in a newer one. */
+    /** Whether the table may be outdated, so that a newer one may hold a missing route or key. */
     bool mayBeStale() const;
 
-    /** Calls @p listener after each change of either. */
+    /** Calls @p listener after each change of the configuration or the weight versions. */
     void addListener(Listener listener) { mListeners.push_back(std::move(listener)); }
-    void setBounds(const DirectBounds &bounds);
+    void setBounds(const MemberBounds &bounds);
 
 private:
-    void take(const FeedChange &change);
+    void applyRecord(const FeedChange &change);
     void install(RouteConfig config, const FeedChange &change);
     void observeAge(const FeedChange &change);
-    void nameWeights(const NamedWeights &named, const FeedChange &change);
+    void applyNamedWeights(const NamedWeights &named, const FeedChange &change);
 
     RecordPort &mRecords;
-    DirectBounds mBounds;
+    MemberBounds mBounds;
     FeedService *mFeeds = nullptr;
-    Metrics *mMetrics = nullptr; ///< null: nothing is observed
+    Metrics *mMetrics = nullptr; ///< null if ages are not recorded
     RouteTablePtr mTable;
     WeightVersionTracker mWeights;
     std::vector<Listener> mListeners;
--- a/tests/gateway/fleetgateway.cpp
+++ b/tests/gateway/fleetgateway.cpp
@@ -16,17 +16,17 @@
 
 namespace {
 
-DirectSettings settingsOf(asio::io_context &context, std::string box)
+MemberSettings memberSettings(asio::io_context &context, std::string box)
 {
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
-    DirectSettings settings;
+    MemberSettings settings;
     settings.box = std::move(box);
     settings.dataCentre = "z1";
     settings.region = "r1";
     settings.peers = freeEndpoint(context);
     settings.store = anyPort;
     settings.bounds.retries = {10.0, 100, Milliseconds(1'000)};
-    settings.bounds.configTime = Milliseconds(600'000);
+    settings.bounds.maxConfigAge = Milliseconds(600'000);
     settings.role = GatewaySettings{anyPort, anyPort, anyPort};
     return settings;
 }
@@ -40,13 +40,13 @@
 }
 
 FleetGateway::FleetGateway(asio::io_context &context, MemoryStore &store, std::string box)
-    : mSettings(settingsOf(context, std::move(box)))
+    : mSettings(memberSettings(context, std::move(box)))
     , mKernel(context.get_executor())
 {
     mKernel.add(std::make_unique<PeerHub>(mSettings.peers));
     mKernel.add(std::make_unique<FeedService>(store, mSettings.box, FeedPreference::Store));
     mKernel.add(std::make_unique<MemberService>(store, mSettings, 1));
-    mKernel.add(std::make_unique<DirectConfig>(mRecords, mSettings.bounds));
+    mKernel.add(std::make_unique<OperatorConfigService>(mRecords, mSettings.bounds));
     mKernel.add(std::make_unique<PermitService>());
     mKernel.add(std::make_unique<ReplicaService>(mRecords, mMetrics, mSettings));
     mKernel.add(std::make_unique<QuarantineService>(store, mMetrics));
@@ -61,12 +61,12 @@
 bool FleetGateway::isReady(std::size_t replicas, std::size_t others)
 {
     const auto &members = mKernel.find<MemberService>(MemberService::sName);
-    const auto places = members.addressPlaces();
-    const auto heard = std::ranges::count_if(places, [](const GatewayAddress &place) {
-        return place.availability == GatewayAvailability::Healthy;
+    const auto gateways = members.otherGateways();
+    const auto healthyCount = std::ranges::count_if(gateways, [](const GatewayAddress &gateway) {
+        return gateway.availability == GatewayAvailability::Healthy;
     });
     return mKernel.find<GatewayServer>(GatewayServer::sName).isReady()
-        && static_cast<std::size_t>(heard) >= others
+        && static_cast<std::size_t>(healthyCount) >= others
         && mKernel.find<ReplicaService>(ReplicaService::sName).replicas().all().size() >= replicas;
 }
 
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -22,23 +22,25 @@
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
+constexpr std::chrono::seconds sTestTimeout{20};
 constexpr int sDataCentres = 2;
-// Each on a loopback address of its own: no outgoing connection takes its port meanwhile.
-constexpr int sFirstHost = 10;
+// Each member has its own loopback address, so that no outgoing connection can take its port
+// before it listens.
+constexpr int sFirstHostNumber = 10;
 
-Tcp::endpoint endpointOf(asio::io_context &context, int index)
+Tcp::endpoint unusedEndpoint(asio::io_context &context, int index)
 {
-    const auto host = asio::ip::make_address_v4("127.0.77." + std::to_string(sFirstHost + index));
+    const auto host
+        = asio::ip::make_address_v4("127.0.77." + std::to_string(sFirstHostNumber + index));
     const Tcp::acceptor acceptor(context, Tcp::endpoint(host, 0));
     return acceptor.local_endpoint();
 }
 
-/** One process of a fleet over a store that all share. */
-class FleetMember
+/** One of several processes that share a store. */
+class TestMember
 {
 public:
-    FleetMember(asio::io_context &context, MemoryStore &store, DirectSettings settings)
+    TestMember(asio::io_context &context, MemoryStore &store, MemberSettings settings)
         : settings(std::move(settings))
         , mStore(store)
         , mKernel(context.get_executor())
@@ -47,8 +49,8 @@
 
     std::string key() const { return endpointText(settings.peers); }
 
-    /** As it was put there by an earlier life. */
-    void record()
+    /** Writes a membership record to the store, as an earlier incarnation did. */
+    void writeRecord()
     {
         boost::json::object value;
         value["box"] = settings.box;
@@ -72,12 +74,12 @@
 
     void stop() { mKernel.stop(); }
 
-    bool knows(Feed feed, std::string_view key)
+    bool hasRecord(Feed feed, std::string_view key)
     {
         return mKernel.find<FeedService>(FeedService::sName).book(feed).find(key) != nullptr;
     }
 
-    DirectSettings settings;
+    MemberSettings settings;
     bool isStarted = false;
 
 private:
@@ -85,18 +87,18 @@
     Kernel mKernel;
 };
 
-/** Gateways and stagers of some data centres that all begin together. */
-class FleetLab
+/** Gateways and stagers of several data centres that all start at the same time. */
+class ColdStartFixture
 {
 public:
-    FleetLab(int gateways, int stagers)
+    ColdStartFixture(int gateways, int stagers)
     {
         store.fullReadDuration = Milliseconds(200);
         for (int index = 0; index < gateways + stagers; ++index) {
             add(index, index < gateways);
         }
         for (const auto &member : members) {
-            member->record();
+            member->writeRecord();
             if (!member->settings.isGateway()) {
                 member->settings.seeds = {members.front()->settings.peers};
             }
@@ -105,15 +107,15 @@
         store.write(Feed::Replicas, "replica", "value");
     }
 
-    /** Who reads for its data centre by plan. */
-    FleetMember &firstReader(const std::string &dataCentre)
+    /** The first gateway in the order of readers for @p dataCentre. */
+    TestMember &firstReader(const std::string &dataCentre)
     {
-        std::vector<MemberLocation> places;
+        std::vector<MemberLocation> locations;
         for (const auto &member : members) {
-            places.push_back(
+            locations.push_back(
                 {member->key(), member->settings.dataCentre, member->settings.isGateway()});
         }
-        const MemberPlan plan({"", dataCentre, true}, places);
+        const MemberPlan plan({"", dataCentre, true}, locations);
         for (const std::string &key : plan.readerOrder(ReaderScope::DataCentre)) {
             const auto found = std::ranges::find_if(
                 members, [&](const auto &member) { return member->key() == key; });
@@ -124,27 +126,27 @@
         return *members.front();
     }
 
-    /** Starts all but @p missing and waits until they know all there is. */
-    void run(const FleetMember *missing = nullptr)
+    /** Starts all members but @p missing and waits until each has received its records. */
+    void run(const TestMember *missing = nullptr)
     {
-        bool ended = false;
-        const auto whole = [&]() -> awaitable<void> {
+        bool allStarted = false;
+        const auto runMembers = [&]() -> awaitable<void> {
             for (const auto &member : members) {
                 if (member.get() != missing) {
                     member->start();
                 }
             }
-            const auto until = std::chrono::steady_clock::now() + sGenerous;
-            while (!allKnow() && std::chrono::steady_clock::now() < until) {
+            const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
+            while (!hasReceivedAll() && std::chrono::steady_clock::now() < deadline) {
                 co_await sleepFor(std::chrono::milliseconds(5));
             }
-            ended = allKnow();
+            allStarted = hasReceivedAll();
             stop();
             context.stop();
         };
-        asio::co_spawn(context, whole(), asio::detached);
+        asio::co_spawn(context, runMembers(), asio::detached);
         context.run();
-        BOOST_TEST(ended);
+        BOOST_TEST(allStarted);
     }
 
     int fullReadCountByFeed(Feed feed) const
@@ -154,29 +156,30 @@
 
     asio::io_context context{1};
     MemoryStore store{context.get_executor()};
-    std::vector<std::unique_ptr<FleetMember>> members;
+    std::vector<std::unique_ptr<TestMember>> members;
 
 private:
     void add(int index, bool isGateway)
     {
-        DirectSettings settings;
+        MemberSettings settings;
         settings.box = "box-" + std::to_string(index);
         settings.dataCentre = "z" + std::to_string(index % sDataCentres);
-        settings.peers = endpointOf(context, index);
+        settings.peers = unusedEndpoint(context, index);
         if (isGateway) {
             settings.role = GatewaySettings{};
         } else {
             settings.role = StagerSettings{"service", Tcp::endpoint(), 0};
         }
-        members.push_back(std::make_unique<FleetMember>(context, store, std::move(settings)));
+        members.push_back(std::make_unique<TestMember>(context, store, std::move(settings)));
     }
 
-    bool allKnow()
+    bool hasReceivedAll()
     {
         return std::ranges::all_of(members, [](const auto &member) {
             return !member->isStarted
-                || (member->knows(Feed::Operators, "config")
-                    && (!member->settings.isGateway() || member->knows(Feed::Replicas, "replica")));
+                || (member->hasRecord(Feed::Operators, "config")
+                    && (!member->settings.isGateway()
+                        || member->hasRecord(Feed::Replicas, "replica")));
         });
     }
 
@@ -192,74 +195,74 @@
 
 } // namespace
 
-// After a loss of power everywhere every gateway and stager read the operators' feed in
-// full for itself: 26 reads of 417 KB, 4.2 MB of them to one data centre in two seconds
-// over a link of 3.4 MB a second, and callers' requests waited 1.35 s behind them.
-BOOST_AUTO_TEST_CASE(many_that_begin_together_read_a_large_feed_once_for_each_data_centre)
+// After a power failure of all data centres each gateway and stager read the complete operators'
+// feed from the store: 26 reads of 417 KB. 4.2 MB of them went to one data centre within two
+// seconds over a link of 3.4 MB/s and delayed callers' requests by 1.35 s.
+BOOST_AUTO_TEST_CASE(members_starting_together_read_a_large_feed_once_per_data_centre)
 {
-    FleetLab lab(8, 6);
+    ColdStartFixture lab(8, 6);
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == sDataCentres);
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Replicas) == sDataCentres);
 }
 
-BOOST_AUTO_TEST_CASE(a_begin_without_its_first_reader_ends_well)
+BOOST_AUTO_TEST_CASE(startup_completes_without_the_first_reader)
 {
-    FleetLab lab(8, 6);
+    ColdStartFixture lab(8, 6);
     lab.run(&lab.firstReader("z0"));
-    // The next in turn reads for the others.
+    // The next gateway in the order of readers reads the store for the others.
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) < static_cast<int>(lab.members.size()) / 2);
 }
 
-// An agent knew one seed, which was not there. The members' feed came from the store at
-// the end of the time to begin, and so did the large feed, at all agents at once: six
-// full reads in the same millisecond.
-BOOST_AUTO_TEST_CASE(agents_whose_seeds_are_gone_still_begin_with_gateways)
+// Agents whose only seed was unreachable read the members' feed from the store at the end of the
+// startup period, and then the large feed as well, all at once: six full reads in the same
+// millisecond.
+BOOST_AUTO_TEST_CASE(agents_with_unreachable_seeds_start_from_gateways)
 {
-    FleetLab lab(8, 6);
-    constexpr int beyondAll = 100;
+    ColdStartFixture lab(8, 6);
+    constexpr int unusedIndex = 100;
     for (const auto &member : lab.members) {
         if (!member->settings.isGateway()) {
-            member->settings.seeds = {endpointOf(lab.context, beyondAll)};
+            member->settings.seeds = {unusedEndpoint(lab.context, unusedIndex)};
         }
     }
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == sDataCentres);
 }
 
-BOOST_AUTO_TEST_CASE(a_begin_with_a_first_reader_that_stands_still_ends_well)
+BOOST_AUTO_TEST_CASE(startup_completes_with_an_unresponsive_first_reader)
 {
-    FleetLab lab(8, 6);
-    FleetMember &silent = lab.firstReader("z1");
-    std::vector<PeerStreamPtr> kept;
+    ColdStartFixture lab(8, 6);
+    TestMember &unresponsive = lab.firstReader("z1");
+    std::vector<PeerStreamPtr> streams;
     PeerServer server(lab.context.get_executor(), [&](PeerStreamPtr stream) -> awaitable<void> {
-        kept.push_back(std::move(stream));
+        streams.push_back(std::move(stream));
         co_return;
     });
-    BOOST_REQUIRE(server.listen(silent.settings.peers).has_value());
-    lab.run(&silent);
+    BOOST_REQUIRE(server.listen(unresponsive.settings.peers).has_value());
+    lab.run(&unresponsive);
     server.stopListening();
 }
 
-// Agents begin while the box of the gateway that they ask first is not there yet. Each then
-// read the members' feed in full: 105 of 111 agents in half a second, over the same links.
-BOOST_AUTO_TEST_CASE(agents_that_begin_learn_the_members_from_gateways)
+// Agents that started before the box of their first seed was up read the complete members' feed
+// from the store: 105 of 111 agents did so within half a second, over the same links.
+BOOST_AUTO_TEST_CASE(starting_agents_read_the_member_feed_from_gateways)
 {
-    FleetLab lab(8, 6);
-    constexpr int beyondAll = 100;
+    ColdStartFixture lab(8, 6);
+    constexpr int unusedIndex = 100;
     for (const auto &member : lab.members) {
         if (!member->settings.isGateway()) {
             member->settings.seeds
-                = {endpointOf(lab.context, beyondAll), lab.members.front()->settings.peers};
+                = {unusedEndpoint(lab.context, unusedIndex), lab.members.front()->settings.peers};
         }
     }
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Members) == 8);
 }
 
-BOOST_AUTO_TEST_CASE(few_gateways_that_begin_each_read_for_themselves)
+BOOST_AUTO_TEST_CASE(each_of_few_starting_gateways_reads_the_store)
 {
-    FleetLab lab(2, 0);
+    ColdStartFixture lab(2, 0);
     lab.run();
     BOOST_TEST(lab.fullReadCountByFeed(Feed::Operators) == 2);
 }
