--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -365,7 +365,8 @@
     const auto *failed = std::get_if<AttemptUnknown>(&result);
     if (failed != nullptr && failed->isClosedByReplica) {
         const RequestDigest own = digest();
-        co_await mCall.parts.quarantine.noteCut(own, mCall.account, attempt.incarnation());
+        co_await mCall.parts.quarantine.noteConnectionLost(own, mCall.account,
+                                                           attempt.incarnation());
     }
 }
 
--- a/src/libloomjunction/gateway/loadasker.cpp
+++ b/src/libloomjunction/gateway/loadasker.cpp
@@ -59,7 +59,7 @@
     load.isLinkSlow = told.link_slow();
     load.includesInTransit = true;
     if (told.has_limit()) {
-        load.limit = limitTold(told.limit(), now());
+        load.limit = fromWireLimit(told.limit(), now());
         load.limit->wait = Microseconds(told.permit_wait_us());
     }
     return load;
--- a/src/libloomjunction/gateway/loadreporter.cpp
+++ b/src/libloomjunction/gateway/loadreporter.cpp
@@ -88,11 +88,11 @@
 // Whoever asks knows before its first request that the replica takes few.
 void LoadReporter::tellLimit(wire::ReplicaLoadReport &report) const
 {
-    const auto known = mPermits == nullptr ? std::nullopt : mPermits->newest();
+    const auto known = mPermits == nullptr ? std::nullopt : mPermits->latestLimit();
     if (!known) {
         return;
     }
-    *report.mutable_limit() = limitToTell(*known, now());
+    *report.mutable_limit() = toWireLimit(*known, now());
     report.set_permit_wait_us(static_cast<std::uint32_t>(
         std::min<std::int64_t>(known->wait.count(), std::numeric_limits<std::uint32_t>::max())));
 }
--- a/src/libloomjunction/gateway/permitasker.cpp
+++ b/src/libloomjunction/gateway/permitclient.cpp
@@ -1,12 +1,12 @@
 /*
- * permitasker.cpp
+ * permitclient.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
  * SPDX-License-Identifier: BSD-2-Clause
  */
 
-#include "permitasker.h"
+#include "permitclient.h"
 
 #include "memberservice.h"
 #include "peerhub.h"
@@ -23,43 +23,43 @@
 
 // Several times the way between the farthest data centres and back. A request must not
 // wait long for a process that is gone; there are other replicas.
-constexpr std::chrono::milliseconds sAnswerTime{50};
+constexpr std::chrono::milliseconds sAnswerTimeout{50};
 // A connection that may have gone silent is not used again.
-constexpr Milliseconds sStreamLost{400};
-constexpr std::chrono::hours sNoDeadline{1};
-constexpr Milliseconds sUnusedFor{10'000};
-constexpr std::size_t sMostUnsent = 64;
+constexpr Milliseconds sUnresponsiveTimeout{400};
+constexpr std::chrono::hours sReceiveTimeout{1};
+constexpr Milliseconds sIdleTimeout{10'000};
+constexpr std::size_t sMaxUnsentCount = 64;
 
 } // namespace
 
-PermitAsker::PermitAsker(Kernel &kernel)
+PermitClient::PermitClient(Kernel &kernel)
     : mHub(kernel.find<PeerHub>(PeerHub::sName))
     , mMembers(kernel.find<MemberService>(MemberService::sName))
-    , mOwn(kernel.find<PermitService>(PermitService::sName))
+    , mLocalService(kernel.find<PermitService>(PermitService::sName))
     , mExecutor(kernel.executor())
 {
 }
 
 // The agent beside it, else its home gateway; nothing: this process.
-std::optional<Tcp::endpoint> PermitAsker::keeperOf(const Replica &replica) const
+std::optional<Tcp::endpoint> PermitClient::permitOwnerOf(const Replica &replica) const
 {
     const auto agent = mMembers.agentOf(replica.record.address);
     return agent ? agent : mMembers.homeOf(replica.record.incarnation());
 }
 
 // Who takes the replica over knows nothing of what was sent; it is told once.
-wire::PermitQuery PermitAsker::queryFor(const Replica &replica, const std::string &keeper)
+wire::PermitQuery PermitClient::queryFor(const Replica &replica, const std::string &owner)
 {
     const Instant time = now();
     const std::string incarnation = replica.record.incarnation();
     wire::PermitQuery query;
     *query.mutable_limit()
-        = limitToTell({incarnation, replica.limit.perSecond(), replica.limit.heardAt(), {}}, time);
+        = toWireLimit({incarnation, replica.limit.perSecond(), replica.limit.heardAt(), {}}, time);
     query.set_address(replica.record.address);
-    if (mToldTo[incarnation] == keeper) {
+    if (mSendsReportedTo[incarnation] == owner) {
         return query;
     }
-    mToldTo[incarnation] = keeper;
+    mSendsReportedTo[incarnation] = owner;
     for (const Instant sent : replica.recentSends) {
         if (time - sent < sSendWindow) {
             query.add_sent_age_us(static_cast<std::uint64_t>((time - sent).count()));
@@ -68,75 +68,76 @@
     return query;
 }
 
-void PermitAsker::tell(const Replica &replica)
+void PermitClient::reportLimit(const Replica &replica)
 {
-    const auto keeper = keeperOf(replica);
-    if (!keeper) {
-        mOwn.answer(queryFor(replica, mMembers.key()));
+    const auto owner = permitOwnerOf(replica);
+    if (!owner) {
+        mLocalService.answer(queryFor(replica, mMembers.key()));
         return;
     }
-    send(*keeper, queryFor(replica, endpointText(*keeper)));
+    send(*owner, queryFor(replica, endpointText(*owner)));
 }
 
-awaitable<std::optional<wire::PermitAnswer>> PermitAsker::ask(Replica replica)
+awaitable<std::optional<wire::PermitAnswer>> PermitClient::ask(Replica replica)
 {
-    const auto keeper = keeperOf(replica);
-    wire::PermitQuery query = queryFor(replica, keeper ? endpointText(*keeper) : mMembers.key());
+    const auto owner = permitOwnerOf(replica);
+    wire::PermitQuery query = queryFor(replica, owner ? endpointText(*owner) : mMembers.key());
     query.set_asks(true);
-    if (!keeper) {
-        co_return mOwn.answer(query);
-    }
-    const auto question = std::make_shared<Question>(mExecutor);
-    question->incarnation = replica.record.incarnation();
-    question->askedAt = now();
-    Link &link = mLinks[endpointText(*keeper)];
-    if (isLost(link, question->askedAt)) {
+    if (!owner) {
+        co_return mLocalService.answer(query);
+    }
+    const auto request = std::make_shared<PendingRequest>(mExecutor);
+    request->incarnation = replica.record.incarnation();
+    request->sentAt = now();
+    Link &link = mLinks[endpointText(*owner)];
+    if (isUnresponsive(link, request->sentAt)) {
         dropConnection(link);
     }
-    if (!send(*keeper, std::move(query))) {
+    if (!send(*owner, std::move(query))) {
         co_return std::nullopt;
     }
-    link.open.push_back(question);
-    const auto until = std::chrono::steady_clock::now() + sAnswerTime;
-    while (!question->answer && !question->isOver && std::chrono::steady_clock::now() < until) {
-        co_await question->answered.waitUntil(until);
+    link.pending.push_back(request);
+    const auto deadline = std::chrono::steady_clock::now() + sAnswerTimeout;
+    while (!request->answer && !request->isCancelled
+           && std::chrono::steady_clock::now() < deadline) {
+        co_await request->answered.waitUntil(deadline);
     }
-    co_return question->answer;
+    co_return request->answer;
 }
 
 // Connections may go silent without a reset while new ones work.
-bool PermitAsker::isLost(const Link &link, Instant now)
+bool PermitClient::isUnresponsive(const Link &link, Instant now)
 {
-    return !link.open.empty() && now - link.open.front()->askedAt > sStreamLost;
+    return !link.pending.empty() && now - link.pending.front()->sentAt > sUnresponsiveTimeout;
 }
 
-bool PermitAsker::send(const Tcp::endpoint &keeper, wire::PermitQuery query)
+bool PermitClient::send(const Tcp::endpoint &owner, wire::PermitQuery query)
 {
-    Link &link = mLinks[endpointText(keeper)];
-    link.usedAt = now();
+    Link &link = mLinks[endpointText(owner)];
+    link.lastUsedAt = now();
     if (link.stream && link.stream->isOpen()) {
         link.stream->send(query);
         return true;
     }
-    if (link.unsent.size() >= sMostUnsent) {
+    if (link.unsent.size() >= sMaxUnsentCount) {
         return false;
     }
     link.unsent.push_back(std::move(query));
     if (!link.isConnecting) {
         link.isConnecting = true;
-        asio::co_spawn(mExecutor, connect(keeper), asio::detached);
+        asio::co_spawn(mExecutor, connect(owner), asio::detached);
     }
     return true;
 }
 
-awaitable<void> PermitAsker::connect(Tcp::endpoint keeper)
+awaitable<void> PermitClient::connect(Tcp::endpoint owner)
 {
-    const std::string key = endpointText(keeper);
-    const PeerStreamPtr stream = co_await mHub.open(keeper, std::string(sPermitPath));
+    const std::string key = endpointText(owner);
+    const PeerStreamPtr stream = co_await mHub.open(owner, std::string(sPermitPath));
     Link &link = mLinks[key];
     link.isConnecting = false;
     if (!stream || mStopped) {
-        endQuestions(link);
+        cancelPending(link);
         co_return;
     }
     const std::deque<wire::PermitQuery> unsent = std::exchange(link.unsent, {});
@@ -147,58 +148,58 @@
     }
 }
 
-awaitable<void> PermitAsker::receive(std::string keeper, PeerStreamPtr stream)
+awaitable<void> PermitClient::receive(std::string owner, PeerStreamPtr stream)
 {
     while (!mStopped) {
-        const auto deadline = std::chrono::steady_clock::now() + sNoDeadline;
+        const auto deadline = std::chrono::steady_clock::now() + sReceiveTimeout;
         auto answer = co_await stream->receiveMessage<wire::PermitAnswer>(deadline);
-        Link &link = mLinks[keeper];
-        if (!answer || !*answer || link.stream != stream || link.open.empty()) {
+        Link &link = mLinks[owner];
+        if (!answer || !*answer || link.stream != stream || link.pending.empty()) {
             break;
         }
-        const QuestionPtr question = link.open.front();
-        const bool isOther
-            = (*answer)->has_limit() && (*answer)->limit().replica() != question->incarnation;
-        if (isOther) {
+        const PendingRequestPtr request = link.pending.front();
+        const bool isWrongReplica
+            = (*answer)->has_limit() && (*answer)->limit().replica() != request->incarnation;
+        if (isWrongReplica) {
             break;
         }
-        link.open.pop_front();
-        question->answer = std::move(**answer);
-        question->answered.notify();
+        link.pending.pop_front();
+        request->answer = std::move(**answer);
+        request->answered.notify();
     }
     stream->reset();
-    Link &link = mLinks[keeper];
+    Link &link = mLinks[owner];
     if (link.stream == stream) {
         link.stream.reset();
-        endQuestions(link);
+        cancelPending(link);
     }
 }
 
 // Nobody answers them any more.
-void PermitAsker::endQuestions(Link &link)
+void PermitClient::cancelPending(Link &link)
 {
     link.unsent.clear();
-    for (const QuestionPtr &question : std::exchange(link.open, {})) {
-        question->isOver = true;
-        question->answered.notify();
+    for (const PendingRequestPtr &request : std::exchange(link.pending, {})) {
+        request->isCancelled = true;
+        request->answered.notify();
     }
 }
 
-void PermitAsker::dropConnection(Link &link)
+void PermitClient::dropConnection(Link &link)
 {
-    endQuestions(link);
+    cancelPending(link);
     if (link.stream) {
         link.stream->connection()->close();
         link.stream.reset();
     }
 }
 
-void PermitAsker::closeUnused()
+void PermitClient::closeUnused()
 {
     const Instant time = now();
     std::erase_if(mLinks, [&](const auto &item) {
         const Link &link = item.second;
-        const bool isUnused = !link.isConnecting && time - link.usedAt > sUnusedFor;
+        const bool isUnused = !link.isConnecting && time - link.lastUsedAt > sIdleTimeout;
         if (isUnused && link.stream) {
             link.stream->reset();
         }
--- a/src/libloomjunction/gateway/permitasker.h
+++ b/src/libloomjunction/gateway/permitclient.h
@@ -1,5 +1,5 @@
 /*
- * permitasker.h
+ * permitclient.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -33,26 +33,26 @@
  * while it is used; nothing is sent while no replica names a limit. Owned by the replica
  * service.
  */
-class PermitAsker
+class PermitClient
 {
 public:
-    explicit PermitAsker(Kernel &kernel);
+    explicit PermitClient(Kernel &kernel);
 
     /** Asks for one send to @p replica; nothing: no answer came in time. */
     awaitable<std::optional<wire::PermitAnswer>> ask(Replica replica);
     /** Tells what @p replica named, without an answer. */
-    void tell(const Replica &replica);
+    void reportLimit(const Replica &replica);
     /** The limit of this life began anew: what was sent until now counts again. */
-    void forgetTold(const std::string &incarnation) { mToldTo.erase(incarnation); }
+    void resetReportedSends(const std::string &incarnation) { mSendsReportedTo.erase(incarnation); }
     /** Ends the streams that nobody used for long. */
     void closeUnused();
     void stop() { mStopped = true; }
 
 private:
     /** A question that waits for its answer. */
-    struct Question
+    struct PendingRequest
     {
-        explicit Question(const asio::any_io_executor &executor)
+        explicit PendingRequest(const asio::any_io_executor &executor)
             : answered(executor)
         {
         }
@@ -60,35 +60,36 @@
         Signal answered;
         std::string incarnation; ///< of the replica
         std::optional<wire::PermitAnswer> answer;
-        bool isOver = false; ///< there will be no answer
-        Instant askedAt;
+        bool isCancelled = false; ///< there will be no answer
+        Instant sentAt;
     };
-    using QuestionPtr = std::shared_ptr<Question>;
+    using PendingRequestPtr = std::shared_ptr<PendingRequest>;
 
     struct Link
     {
         PeerStreamPtr stream;
         bool isConnecting = false;
         std::deque<wire::PermitQuery> unsent; ///< for the connection
-        std::deque<QuestionPtr> open; ///< in the order of their answers
-        Instant usedAt;
+        std::deque<PendingRequestPtr> pending; ///< in the order of their answers
+        Instant lastUsedAt;
     };
 
-    wire::PermitQuery queryFor(const Replica &replica, const std::string &keeper);
-    std::optional<Tcp::endpoint> keeperOf(const Replica &replica) const;
-    static bool isLost(const Link &link, Instant now);
-    bool send(const Tcp::endpoint &keeper, wire::PermitQuery query);
-    awaitable<void> connect(Tcp::endpoint keeper);
-    awaitable<void> receive(std::string keeper, PeerStreamPtr stream);
-    static void endQuestions(Link &link);
+    wire::PermitQuery queryFor(const Replica &replica, const std::string &owner);
+    std::optional<Tcp::endpoint> permitOwnerOf(const Replica &replica) const;
+    static bool isUnresponsive(const Link &link, Instant now);
+    bool send(const Tcp::endpoint &owner, wire::PermitQuery query);
+    awaitable<void> connect(Tcp::endpoint owner);
+    awaitable<void> receive(std::string owner, PeerStreamPtr stream);
+    static void cancelPending(Link &link);
     static void dropConnection(Link &link);
 
     PeerHub &mHub;
     MemberService &mMembers;
-    PermitService &mOwn;
+    PermitService &mLocalService;
     asio::any_io_executor mExecutor;
     std::map<std::string, Link> mLinks; ///< by the keeper's address
-    std::map<std::string, std::string> mToldTo; ///< by life: the keeper that knows the sends
+    std::map<std::string, std::string>
+        mSendsReportedTo; ///< by life: the keeper that knows the sends
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/permitservice.cpp
+++ b/src/libloomjunction/gateway/permitservice.cpp
@@ -20,43 +20,44 @@
 namespace {
 
 // Gateways end a stream sooner that they do not use.
-constexpr std::chrono::seconds sGatewaySilence{30};
+constexpr std::chrono::seconds sStreamIdleTimeout{30};
 // Nobody asked for a replica's permits that long: its life or its need is over.
-constexpr Milliseconds sKept{60'000};
+constexpr Milliseconds sEntryLifetime{60'000};
 // Of a gateway's own sends before it asked; more say no more.
-constexpr int sMostSentBefore = 256;
+constexpr int sMaxReportedSends = 256;
 // Whoever asks the wrong process learns of the members within about this time.
-constexpr Milliseconds sNotHere{200};
+constexpr Milliseconds sWrongOwnerRetryDelay{200};
 
-Instant before(Instant now, std::uint64_t microseconds)
+Instant timeBefore(Instant now, std::uint64_t microseconds)
 {
-    constexpr std::uint64_t most = std::chrono::duration_cast<Microseconds>(sKept).count();
-    return now - Microseconds(static_cast<std::int64_t>(std::min(microseconds, most)));
+    constexpr std::uint64_t maxAge
+        = std::chrono::duration_cast<Microseconds>(sEntryLifetime).count();
+    return now - Microseconds(static_cast<std::int64_t>(std::min(microseconds, maxAge)));
 }
 
 } // namespace
 
-wire::ReplicaLimit limitToTell(const ReportedLimit &limit, Instant now)
+wire::ReplicaLimit toWireLimit(const ReportedLimit &limit, Instant now)
 {
-    wire::ReplicaLimit told;
-    told.set_replica(limit.incarnation);
+    wire::ReplicaLimit reported;
+    reported.set_replica(limit.incarnation);
     if (limit.perSecond) {
-        told.set_per_second(*limit.perSecond);
+        reported.set_per_second(*limit.perSecond);
     }
     const Microseconds age = std::max(Microseconds(0), now - limit.heardAt);
-    told.set_age_us(static_cast<std::uint64_t>(age.count()));
-    return told;
+    reported.set_age_us(static_cast<std::uint64_t>(age.count()));
+    return reported;
 }
 
-ReportedLimit limitTold(const wire::ReplicaLimit &limit, Instant now)
+ReportedLimit fromWireLimit(const wire::ReplicaLimit &limit, Instant now)
 {
-    ReportedLimit told;
-    told.incarnation = limit.replica();
-    told.heardAt = before(now, limit.age_us());
+    ReportedLimit reported;
+    reported.incarnation = limit.replica();
+    reported.heardAt = timeBefore(now, limit.age_us());
     if (limit.has_per_second() && limit.per_second() >= 0) {
-        told.perSecond = limit.per_second();
+        reported.perSecond = limit.per_second();
     }
-    return told;
+    return reported;
 }
 
 tl::expected<void, std::string> PermitService::start(Kernel &kernel)
@@ -68,10 +69,10 @@
     return {};
 }
 
-bool PermitService::handsOutFor(const wire::PermitQuery &query) const
+bool PermitService::isPermitOwnerOf(const wire::PermitQuery &query) const
 {
-    if (!mReplica.empty()) {
-        return query.address() == mReplica;
+    if (!mReplicaAddress.empty()) {
+        return query.address() == mReplicaAddress;
     }
     return !mMembers->agentOf(query.address()) && !mMembers->homeOf(query.limit().replica());
 }
@@ -80,27 +81,28 @@
 {
     const Instant time = now();
     if (!mEntries.contains(incarnation)) {
-        std::erase_if(mEntries,
-                      [&](const auto &item) { return time - item.second.askedAt > sKept; });
+        std::erase_if(mEntries, [&](const auto &item) {
+            return time - item.second.lastUsedAt > sEntryLifetime;
+        });
     }
     Entry &entry = mEntries[incarnation];
-    entry.askedAt = time;
+    entry.lastUsedAt = time;
     return entry;
 }
 
-void PermitService::learn(Entry &entry, const wire::PermitQuery &query, Instant now)
+void PermitService::applyQuery(Entry &entry, const wire::PermitQuery &query, Instant now)
 {
-    const ReportedLimit told = limitTold(query.limit(), now);
-    const LimitChange change = entry.limit.hear(told.perSecond, told.heardAt);
+    const ReportedLimit reported = fromWireLimit(query.limit(), now);
+    const LimitChange change = entry.limit.hear(reported.perSecond, reported.heardAt);
     if (change == LimitChange::Started) {
         entry.permits = SendPermits();
     }
-    const int sent = std::min(query.sent_age_us_size(), sMostSentBefore);
+    const int sent = std::min(query.sent_age_us_size(), sMaxReportedSends);
     for (int index = 0; index < sent; ++index) {
-        entry.permits.noteSend(before(now, query.sent_age_us(index)));
+        entry.permits.noteSend(timeBefore(now, query.sent_age_us(index)));
     }
-    const bool isRate = change == LimitChange::Started || change == LimitChange::Changed;
-    if (isRate) {
+    const bool hasNewRate = change == LimitChange::Started || change == LimitChange::Changed;
+    if (hasNewRate) {
         entry.permits.setRate(*entry.limit.perSecond(), now);
     }
 }
@@ -109,16 +111,16 @@
 {
     wire::PermitAnswer answer;
     const Instant time = now();
-    if (!handsOutFor(query)) {
-        answer.set_wait_us(
-            static_cast<std::uint64_t>(std::chrono::duration_cast<Microseconds>(sNotHere).count()));
+    if (!isPermitOwnerOf(query)) {
+        answer.set_wait_us(static_cast<std::uint64_t>(
+            std::chrono::duration_cast<Microseconds>(sWrongOwnerRetryDelay).count()));
         return answer;
     }
-    mNewest = query.limit().replica();
-    Entry &entry = entryOf(mNewest);
-    learn(entry, query, time);
-    *answer.mutable_limit()
-        = limitToTell({mNewest, entry.limit.perSecond(), entry.limit.heardAt(), {}}, time);
+    mLatestIncarnation = query.limit().replica();
+    Entry &entry = entryOf(mLatestIncarnation);
+    applyQuery(entry, query, time);
+    *answer.mutable_limit() = toWireLimit(
+        {mLatestIncarnation, entry.limit.perSecond(), entry.limit.heardAt(), {}}, time);
     if (query.asks()) {
         answer.set_granted(!entry.limit.perSecond() || entry.permits.take(time));
     }
@@ -128,28 +130,28 @@
     return answer;
 }
 
-std::optional<ReportedLimit> PermitService::newest() const
+std::optional<ReportedLimit> PermitService::latestLimit() const
 {
-    const auto it = mEntries.find(mNewest);
+    const auto it = mEntries.find(mLatestIncarnation);
     if (it == mEntries.end()) {
         return std::nullopt;
     }
     const Entry &entry = it->second;
     const Microseconds wait = entry.limit.perSecond() ? entry.permits.wait(now()) : Microseconds(0);
-    return ReportedLimit{mNewest, entry.limit.perSecond(), entry.limit.heardAt(), wait};
+    return ReportedLimit{mLatestIncarnation, entry.limit.perSecond(), entry.limit.heardAt(), wait};
 }
 
 awaitable<void> PermitService::serve(PeerStreamPtr stream)
 {
     while (stream->isOpen() && !mStopped) {
-        const auto deadline = std::chrono::steady_clock::now() + sGatewaySilence;
+        const auto deadline = std::chrono::steady_clock::now() + sStreamIdleTimeout;
         const auto query = co_await stream->receiveMessage<wire::PermitQuery>(deadline);
         if (!query || !*query || mStopped) {
             break;
         }
-        const wire::PermitAnswer given = answer(**query);
+        const wire::PermitAnswer reply = answer(**query);
         if ((*query)->asks()) {
-            stream->send(given);
+            stream->send(reply);
         }
     }
     stream->reset();
--- a/src/libloomjunction/gateway/permitservice.h
+++ b/src/libloomjunction/gateway/permitservice.h
@@ -33,8 +33,8 @@
 inline constexpr std::string_view sPermitPath = "/send-permits";
 
 /** What is known of a limit, as a message, and back. */
-wire::ReplicaLimit limitToTell(const ReportedLimit &limit, Instant now);
-ReportedLimit limitTold(const wire::ReplicaLimit &limit, Instant now);
+wire::ReplicaLimit toWireLimit(const ReportedLimit &limit, Instant now);
+ReportedLimit fromWireLimit(const wire::ReplicaLimit &limit, Instant now);
 
 /**
  * Hands out the sends to replicas that named a limit, so that all gateways together keep
@@ -49,7 +49,7 @@
 
     /** @p replica: address of the replica beside this agent; empty: this is a gateway. */
     explicit PermitService(std::string replica = {})
-        : mReplica(std::move(replica))
+        : mReplicaAddress(std::move(replica))
     {
     }
 
@@ -60,7 +60,7 @@
     /** Answers a gateway, which may be this process. */
     wire::PermitAnswer answer(const wire::PermitQuery &query);
     /** Of the replica that was asked for last; nothing: none was. */
-    std::optional<ReportedLimit> newest() const;
+    std::optional<ReportedLimit> latestLimit() const;
 
 private:
     /** What is known of one life of a replica. */
@@ -68,18 +68,18 @@
     {
         ReplicaRateLimit limit;
         SendPermits permits;
-        Instant askedAt;
+        Instant lastUsedAt;
     };
 
     awaitable<void> serve(PeerStreamPtr stream);
-    bool handsOutFor(const wire::PermitQuery &query) const;
+    bool isPermitOwnerOf(const wire::PermitQuery &query) const;
     Entry &entryOf(const std::string &incarnation);
-    static void learn(Entry &entry, const wire::PermitQuery &query, Instant now);
+    static void applyQuery(Entry &entry, const wire::PermitQuery &query, Instant now);
 
-    std::string mReplica;
+    std::string mReplicaAddress;
     MemberService *mMembers = nullptr;
     std::map<std::string, Entry> mEntries; ///< by the replica's life
-    std::string mNewest; ///< the life that was asked for last
+    std::string mLatestIncarnation; ///< the life that was asked for last
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/quarantinerecord.cpp
+++ b/src/libloomjunction/gateway/quarantinerecord.cpp
@@ -17,10 +17,10 @@
 namespace {
 
 // Wall clocks of boxes differ by seconds, and may jump by some.
-constexpr Milliseconds sMostAhead{60'000};
-constexpr std::size_t sMostLife = 200;
-constexpr std::size_t sMostLives = 16;
-constexpr std::int64_t sMostEpoch = 1'000'000'000;
+constexpr Milliseconds sMaxClockSkew{60'000};
+constexpr std::size_t sMaxIncarnationLength = 200;
+constexpr std::size_t sMaxIncarnationCount = 16;
+constexpr std::int64_t sMaxEpoch = 1'000'000'000;
 
 } // namespace
 
@@ -28,8 +28,8 @@
 {
     const auto age = std::chrono::duration_cast<Milliseconds>(now - entry.lastEventAt);
     boost::json::array crashes;
-    for (const std::string &life : entry.lives) {
-        crashes.emplace_back(life);
+    for (const std::string &incarnation : entry.lives) {
+        crashes.emplace_back(incarnation);
     }
     boost::json::object value;
     value["account"] = entry.account;
@@ -53,28 +53,30 @@
         return tl::unexpected(std::string("at: expected a whole number"));
     }
     const auto age = wallNow - WallMilliseconds(at);
-    if (age < -sMostAhead) {
+    if (age < -sMaxClockSkew) {
         return tl::unexpected(std::string("at: expected a time that is over"));
     }
     const std::int64_t epoch = jsonInteger(object, "epoch", -1);
-    if (epoch < 0 || epoch > sMostEpoch) {
+    if (epoch < 0 || epoch > sMaxEpoch) {
         return tl::unexpected(std::string("epoch: expected a whole number"));
     }
     const boost::json::value *found = object.if_contains("crashes");
     const boost::json::array *crashes = found == nullptr ? nullptr : found->if_array();
-    if (crashes == nullptr || crashes->empty() || crashes->size() > sMostLives) {
-        return tl::unexpected("crashes: expected 1 to " + std::to_string(sMostLives) + " names");
+    if (crashes == nullptr || crashes->empty() || crashes->size() > sMaxIncarnationCount) {
+        return tl::unexpected("crashes: expected 1 to " + std::to_string(sMaxIncarnationCount)
+                              + " names");
     }
     QuarantineEntry entry;
     entry.digest = *parsed;
     entry.account = jsonText(object, "account");
     entry.epoch = static_cast<std::uint32_t>(epoch);
     entry.lastEventAt = now - std::max(age, WallMilliseconds(0));
-    for (const boost::json::value &life : *crashes) {
-        if (!life.is_string() || life.as_string().empty() || life.as_string().size() > sMostLife) {
+    for (const boost::json::value &incarnation : *crashes) {
+        if (!incarnation.is_string() || incarnation.as_string().empty()
+            || incarnation.as_string().size() > sMaxIncarnationLength) {
             return tl::unexpected(std::string("crashes: expected names"));
         }
-        entry.lives.insert(std::string(life.as_string()));
+        entry.lives.insert(std::string(incarnation.as_string()));
     }
     return entry;
 }
--- a/src/libloomjunction/gateway/quarantineservice.cpp
+++ b/src/libloomjunction/gateway/quarantineservice.cpp
@@ -26,23 +26,23 @@
 namespace {
 
 // Some dozens of times the way between the farthest data centres.
-constexpr std::chrono::milliseconds sLookTimeout{250};
+constexpr std::chrono::milliseconds sProbeTimeout{250};
 // A stream that goes on elsewhere must not wait for a replica whose box is dark. Nobody
 // listening is told within a way there and back, some 10 ms between regions.
-constexpr std::chrono::milliseconds sMostWait{50};
+constexpr std::chrono::milliseconds sMaxProbeWait{50};
 // Connections of one replica are cut within milliseconds of each other when it ends; a
 // later cut of one that lived is looked at anew.
-constexpr Milliseconds sLookHolds{100};
-constexpr Milliseconds sLooksKept{60'000};
-constexpr std::chrono::seconds sSweepEvery{5};
+constexpr Milliseconds sReachableResultLifetime{100};
+constexpr Milliseconds sProbeRetention{60'000};
+constexpr std::chrono::seconds sSweepInterval{5};
 // News in one message of a gateway's state, some 100 bytes each.
-constexpr std::size_t sMostNews = 64;
+constexpr std::size_t sMaxNewsCount = 64;
 // Whoever refuses a request by what others told writes only if nobody did by then.
-constexpr Milliseconds sOthersWrite{1'000};
-constexpr Milliseconds sRemoveWithin{5'000};
-constexpr std::chrono::milliseconds sRecordRetry{400};
+constexpr Milliseconds sRemoteWriteDelay{1'000};
+constexpr Milliseconds sMaxRemoveDelay{5'000};
+constexpr std::chrono::milliseconds sRecordRetryDelay{400};
 
-std::string keyOf(const RequestDigest &digest)
+std::string recordKey(const RequestDigest &digest)
 {
     return std::string(sQuarantineKeys) + digest.text();
 }
@@ -60,103 +60,108 @@
     mExecutor = kernel.executor();
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mMembers = &kernel.find<MemberService>(MemberService::sName);
-    mFeeds->listen(Feed::Members, [this](const FeedChange &change) { take(change); });
-    mMembers->setStatusNews(
-        {[this](std::uint64_t since, wire::MemberStatus &status) { return putNews(since, status); },
-         [this] { return mQuarantine.revision(); },
-         [this](const wire::MemberStatus &status) { takeNews(status); }});
+    mFeeds->listen(Feed::Members, [this](const FeedChange &change) { applyFeedChange(change); });
+    mMembers->setStatusNews({[this](std::uint64_t since, wire::MemberStatus &status) {
+                                 return writeMemberNews(since, status);
+                             },
+                             [this] { return mQuarantine.revision(); },
+                             [this](const wire::MemberStatus &status) { readMemberNews(status); }});
     asio::co_spawn(mExecutor, sweepLoop(), asio::detached);
     return {};
 }
 
 std::optional<Milliseconds> QuarantineService::refusedFor(const RequestDigest &digest) const
 {
-    const auto elsewhere = mQuarantine.refusedFor(digest, false, now());
-    if (!elsewhere) {
+    const auto remaining = mQuarantine.refusedFor(digest, false, now());
+    if (!remaining) {
         return std::nullopt; // most requests: whose home it is need not be worked out
     }
-    return mQuarantine.refusedFor(digest, isHome(digest), now());
+    return mQuarantine.refusedFor(digest, isHomeGateway(digest), now());
 }
 
 // The same gateway for all that know the same members.
-bool QuarantineService::isHome(const RequestDigest &digest) const
+bool QuarantineService::isHomeGateway(const RequestDigest &digest) const
 {
-    const std::uint64_t own = rendezvousWeight(digest.text(), mMembers->key());
+    const std::uint64_t ownWeight = rendezvousWeight(digest.text(), mMembers->key());
     return std::ranges::none_of(mMembers->others(), [&](const Member &member) {
         return member.isGateway
-            && rendezvousWeight(digest.text(), endpointText(member.peers)) > own;
+            && rendezvousWeight(digest.text(), endpointText(member.peers)) > ownWeight;
     });
 }
 
 // A cut connection is also what a reset, a load of weights or a reused connection looks
 // like. A replica that still takes connections did not end, and its word against a request
 // would refuse those that only ran where connections are reset.
-QuarantineService::LookPtr QuarantineService::lookAt(const ReplicaLife &life)
+QuarantineService::ProbePtr QuarantineService::probeReplica(const ReplicaIncarnation &incarnation)
 {
-    LookPtr &known = mLooks[life.text()];
-    const bool isOld
-        = known && known->hasEnded && !*known->hasEnded && now() - known->at > sLookHolds;
-    if (!known || isOld) {
-        known = std::make_shared<Look>(mExecutor);
-        asio::co_spawn(mExecutor, connectTo(life, known), asio::detached);
+    ProbePtr &probe = mProbes[incarnation.text()];
+    const bool isExpired = probe && probe->isUnreachable && !*probe->isUnreachable
+        && now() - probe->finishedAt > sReachableResultLifetime;
+    if (!probe || isExpired) {
+        probe = std::make_shared<Probe>(mExecutor);
+        asio::co_spawn(mExecutor, runProbe(incarnation, probe), asio::detached);
     }
-    return known;
+    return probe;
 }
 
-awaitable<void> QuarantineService::connectTo(ReplicaLife life, LookPtr look)
+awaitable<void> QuarantineService::runProbe(ReplicaIncarnation incarnation, ProbePtr probe)
 {
-    const auto endpoint = parseEndpoint(life.address);
+    const auto endpoint = parseEndpoint(incarnation.address);
     if (!endpoint) {
-        look->hasEnded = false;
-        look->done.notify();
+        probe->isUnreachable = false;
+        probe->done.notify();
         co_return;
     }
-    const auto made = co_await connectWithin(*endpoint, sLookTimeout);
-    look->hasEnded = !made.has_value();
-    look->at = now();
-    look->done.notify();
-    if (made) {
+    const auto connected = co_await connectWithin(*endpoint, sProbeTimeout);
+    probe->isUnreachable = !connected.has_value();
+    probe->finishedAt = now();
+    probe->done.notify();
+    if (connected) {
         co_return;
     }
     mMetrics.count("replica_crashes");
     logLine(LogLevel::Warning, "replica-crashed",
-            {{"replica", life.id},
-             {"born", life.born},
-             {"address", life.address},
-             {"problem", made.error().message()}});
+            {{"replica", incarnation.id},
+             {"born", incarnation.born},
+             {"address", incarnation.address},
+             {"problem", connected.error().message()}});
 }
 
-awaitable<void> QuarantineService::noteCut(RequestDigest digest, std::string account,
-                                           ReplicaLife life)
+awaitable<void> QuarantineService::noteConnectionLost(RequestDigest digest, std::string account,
+                                                      ReplicaIncarnation incarnation)
 {
-    if (life.isLeaving) {
+    if (incarnation.isLeaving) {
         co_return;
     }
-    const LookPtr look = lookAt(life);
-    if (!look->hasEnded) {
-        co_await look->done.waitFor(sMostWait);
+    const ProbePtr probe = probeReplica(incarnation);
+    if (!probe->isUnreachable) {
+        co_await probe->done.waitFor(sMaxProbeWait);
     }
-    if (look->hasEnded) {
-        noteLook(*look, digest, account, life);
+    if (probe->isUnreachable) {
+        noteProbeResult(*probe, digest, account, incarnation);
         co_return;
     }
-    asio::co_spawn(mExecutor, noteLater(look, digest, account, life), asio::detached);
+    asio::co_spawn(mExecutor, noteProbeResultLater(probe, digest, account, incarnation),
+                   asio::detached);
 }
 
-awaitable<void> QuarantineService::noteLater(LookPtr look, RequestDigest digest,
-                                             std::string account, ReplicaLife life)
+awaitable<void> QuarantineService::noteProbeResultLater(ProbePtr probe, RequestDigest digest,
+                                                        std::string account,
+                                                        ReplicaIncarnation incarnation)
 {
-    if (!look->hasEnded) {
-        co_await look->done.waitFor(2 * sLookTimeout);
+    if (!probe->isUnreachable) {
+        co_await probe->done.waitFor(2 * sProbeTimeout);
     }
-    noteLook(*look, digest, account, life);
+    noteProbeResult(*probe, digest, account, incarnation);
 }
 
-void QuarantineService::noteLook(const Look &look, const RequestDigest &digest,
-                                 const std::string &account, const ReplicaLife &life)
+void QuarantineService::noteProbeResult(const Probe &probe, const RequestDigest &digest,
+                                        const std::string &account,
+                                        const ReplicaIncarnation &incarnation)
 {
-    if (look.hasEnded.value_or(false)) {
-        noteNews(mQuarantine.noteCrash(digest, account, life.text(), now()), digest, "own");
+    if (probe.isUnreachable.value_or(false)) {
+        handleNews(mQuarantine.noteCrash(digest, account, incarnation.text(), now()), digest,
+                   "own");
     }
 }
 
@@ -167,13 +172,13 @@
     }
     logLine(LogLevel::Info, "request-cleared", {{"request", digest.text()}});
     mMembers->noteChange();
-    if (mRecorded.contains(digest)) {
+    if (mRecordedCrashCounts.contains(digest)) {
         asio::co_spawn(mExecutor, removeRecord(digest, Milliseconds(0)), asio::detached);
     }
 }
 
-void QuarantineService::noteNews(QuarantineNews news, const RequestDigest &digest,
-                                 std::string_view from)
+void QuarantineService::handleNews(QuarantineNews news, const RequestDigest &digest,
+                                   std::string_view source)
 {
     if (news == QuarantineNews::Nothing) {
         return;
@@ -183,63 +188,63 @@
     if (news != QuarantineNews::Refused || entry == nullptr) {
         return;
     }
-    mMetrics.count("quarantined", from);
+    mMetrics.count("quarantined", source);
     std::string lives;
-    for (const std::string &life : entry->lives) {
-        lives += (lives.empty() ? "" : " ") + life;
+    for (const std::string &incarnation : entry->lives) {
+        lives += (lives.empty() ? "" : " ") + incarnation;
     }
     logLine(LogLevel::Warning, "request-quarantined",
             {{"request", digest.text()},
              {"account", entry->account},
              {"crashes", entry->lives.size()},
              {"replicas", lives},
-             {"from", from},
+             {"from", source},
              {"forMs", refusedFor(digest).value_or(Milliseconds(0)).count()}});
-    const auto turn = Milliseconds(
+    const auto stagger = Milliseconds(
         static_cast<std::int64_t>(rendezvousWeight(digest.text(), mMembers->key())
-                                  % static_cast<std::uint64_t>(sOthersWrite.count())));
-    const Milliseconds wait = from == "own" ? Milliseconds(0) : sOthersWrite + turn;
-    asio::co_spawn(mExecutor, record(digest, wait), asio::detached);
+                                  % static_cast<std::uint64_t>(sRemoteWriteDelay.count())));
+    const Milliseconds delay = source == "own" ? Milliseconds(0) : sRemoteWriteDelay + stagger;
+    asio::co_spawn(mExecutor, writeRecord(digest, delay), asio::detached);
 }
 
 bool QuarantineService::isRecorded(const QuarantineEntry &entry) const
 {
-    const auto recorded = mRecorded.find(entry.digest);
-    return recorded != mRecorded.end() && recorded->second >= entry.lives.size();
+    const auto recorded = mRecordedCrashCounts.find(entry.digest);
+    return recorded != mRecordedCrashCounts.end() && recorded->second >= entry.lives.size();
 }
 
-awaitable<void> QuarantineService::record(RequestDigest digest, Milliseconds wait)
+awaitable<void> QuarantineService::writeRecord(RequestDigest digest, Milliseconds delay)
 {
-    if (!mRecording.insert(digest).second) {
+    if (!mWritesInProgress.insert(digest).second) {
         co_return;
     }
-    co_await sleepFor(wait);
+    co_await sleepFor(delay);
     const QuarantineEntry *entry = mQuarantine.find(digest);
     while (!mStopped && entry != nullptr && !entry->lives.empty() && !isRecorded(*entry)) {
         const std::string value = quarantineRecord(*entry, now(), wallNow());
-        const auto done = co_await mStore.put(keyOf(digest), value);
+        const auto done = co_await mStore.put(recordKey(digest), value);
         if (done) {
             break;
         }
-        co_await sleepFor(sRecordRetry);
+        co_await sleepFor(sRecordRetryDelay);
         entry = mQuarantine.find(digest);
     }
-    mRecording.erase(digest);
+    mWritesInProgress.erase(digest);
 }
 
-awaitable<void> QuarantineService::removeRecord(RequestDigest digest, Milliseconds wait)
+awaitable<void> QuarantineService::removeRecord(RequestDigest digest, Milliseconds delay)
 {
-    co_await sleepFor(wait);
-    while (!mStopped && mRecorded.contains(digest) && !refusedFor(digest)) {
-        const auto done = co_await mStore.put(keyOf(digest), std::nullopt);
+    co_await sleepFor(delay);
+    while (!mStopped && mRecordedCrashCounts.contains(digest) && !refusedFor(digest)) {
+        const auto done = co_await mStore.put(recordKey(digest), std::nullopt);
         if (done) {
             co_return;
         }
-        co_await sleepFor(sRecordRetry);
+        co_await sleepFor(sRecordRetryDelay);
     }
 }
 
-void QuarantineService::take(const FeedChange &change)
+void QuarantineService::applyFeedChange(const FeedChange &change)
 {
     const std::string &key = change.record.key;
     if (!key.starts_with(sQuarantineKeys)) {
@@ -248,7 +253,7 @@
     if (!change.record.value) {
         const auto digest
             = RequestDigest::parse(std::string_view(key).substr(sQuarantineKeys.size()));
-        mRecorded.erase(digest.value_or(RequestDigest()));
+        mRecordedCrashCounts.erase(digest.value_or(RequestDigest()));
         return;
     }
     const auto entry = readQuarantineRecord(std::string_view(key).substr(sQuarantineKeys.size()),
@@ -258,36 +263,37 @@
                 {{"key", key}, {"problem", entry.error()}});
         return;
     }
-    mRecorded[entry->digest] = entry->lives.size();
-    noteNews(mQuarantine.merge(*entry, now()), entry->digest, "store");
+    mRecordedCrashCounts[entry->digest] = entry->lives.size();
+    handleNews(mQuarantine.merge(*entry, now()), entry->digest, "store");
 }
 
-void QuarantineService::takeNews(const wire::MemberStatus &status)
+void QuarantineService::readMemberNews(const wire::MemberStatus &status)
 {
-    for (const wire::QuarantineNews &told : status.quarantine()) {
-        const auto digest = RequestDigest::parse(told.digest());
+    for (const wire::QuarantineNews &news : status.quarantine()) {
+        const auto digest = RequestDigest::parse(news.digest());
         if (!digest) {
             continue;
         }
         QuarantineEntry entry;
         entry.digest = *digest;
-        entry.account = told.account();
-        entry.epoch = told.epoch();
-        entry.lives.insert(told.lives().begin(), told.lives().end());
-        entry.lastEventAt = now() - Milliseconds(static_cast<std::int64_t>(told.age_ms()));
-        noteNews(mQuarantine.merge(entry, now()), *digest, status.box());
+        entry.account = news.account();
+        entry.epoch = news.epoch();
+        entry.lives.insert(news.lives().begin(), news.lives().end());
+        entry.lastEventAt = now() - Milliseconds(static_cast<std::int64_t>(news.age_ms()));
+        handleNews(mQuarantine.merge(entry, now()), *digest, status.box());
     }
 }
 
-std::uint64_t QuarantineService::putNews(std::uint64_t since, wire::MemberStatus &status) const
+std::uint64_t QuarantineService::writeMemberNews(std::uint64_t since,
+                                                 wire::MemberStatus &status) const
 {
-    for (const QuarantineEntry &entry : mQuarantine.changedSince(since, sMostNews)) {
+    for (const QuarantineEntry &entry : mQuarantine.changedSince(since, sMaxNewsCount)) {
         wire::QuarantineNews *news = status.add_quarantine();
         news->set_digest(entry.digest.text());
         news->set_account(entry.account);
         news->set_epoch(entry.epoch);
-        for (const std::string &life : entry.lives) {
-            news->add_lives(life);
+        for (const std::string &incarnation : entry.lives) {
+            news->add_lives(incarnation);
         }
         const auto age = std::chrono::duration_cast<Milliseconds>(now() - entry.lastEventAt);
         news->set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(age.count(), 0)));
@@ -298,18 +304,19 @@
 awaitable<void> QuarantineService::sweepLoop()
 {
     while (!mStopped) {
-        co_await sleepFor(sSweepEvery);
+        co_await sleepFor(sSweepInterval);
         for (const RequestDigest &digest : mQuarantine.sweep(now())) {
-            if (mRecorded.contains(digest)) {
-                const auto turn = rendezvousWeight(digest.text(), mMembers->key())
-                    % static_cast<std::uint64_t>(sRemoveWithin.count());
-                asio::co_spawn(mExecutor,
-                               removeRecord(digest, Milliseconds(static_cast<std::int64_t>(turn))),
-                               asio::detached);
+            if (mRecordedCrashCounts.contains(digest)) {
+                const auto stagger = rendezvousWeight(digest.text(), mMembers->key())
+                    % static_cast<std::uint64_t>(sMaxRemoveDelay.count());
+                asio::co_spawn(
+                    mExecutor,
+                    removeRecord(digest, Milliseconds(static_cast<std::int64_t>(stagger))),
+                    asio::detached);
             }
         }
-        std::erase_if(mLooks, [](const auto &item) {
-            return item.second->hasEnded && now() - item.second->at > sLooksKept;
+        std::erase_if(mProbes, [](const auto &item) {
+            return item.second->isUnreachable && now() - item.second->finishedAt > sProbeRetention;
         });
     }
 }
--- a/src/libloomjunction/gateway/quarantineservice.h
+++ b/src/libloomjunction/gateway/quarantineservice.h
@@ -32,7 +32,7 @@
 struct FeedChange;
 
 /** One life of a replica that a request was sent to. */
-struct ReplicaLife
+struct ReplicaIncarnation
 {
     std::string id;
     std::uint64_t born = 0;
@@ -70,38 +70,39 @@
      * The connection that the request ran on was cut: looks whether the replica ended, and
      * returns when that is known, or some tens of milliseconds later.
      */
-    awaitable<void> noteCut(RequestDigest digest, std::string account, ReplicaLife life);
+    awaitable<void> noteConnectionLost(RequestDigest digest, std::string account,
+                                       ReplicaIncarnation incarnation);
     void noteGoodEnd(const RequestDigest &digest);
 
 private:
     /** A look at a replica, shared by all whose connections were cut. */
-    struct Look
+    struct Probe
     {
-        explicit Look(const asio::any_io_executor &executor)
+        explicit Probe(const asio::any_io_executor &executor)
             : done(executor)
         {
         }
 
         Signal done;
-        std::optional<bool> hasEnded;
-        Instant at;
+        std::optional<bool> isUnreachable;
+        Instant finishedAt;
     };
-    using LookPtr = std::shared_ptr<Look>;
-
-    LookPtr lookAt(const ReplicaLife &life);
-    awaitable<void> connectTo(ReplicaLife life, LookPtr look);
-    awaitable<void> noteLater(LookPtr look, RequestDigest digest, std::string account,
-                              ReplicaLife life);
-    void noteLook(const Look &look, const RequestDigest &digest, const std::string &account,
-                  const ReplicaLife &life);
-    void take(const FeedChange &change);
-    void takeNews(const wire::MemberStatus &status);
-    std::uint64_t putNews(std::uint64_t since, wire::MemberStatus &status) const;
-    void noteNews(QuarantineNews news, const RequestDigest &digest, std::string_view from);
-    bool isHome(const RequestDigest &digest) const;
+    using ProbePtr = std::shared_ptr<Probe>;
+
+    ProbePtr probeReplica(const ReplicaIncarnation &incarnation);
+    awaitable<void> runProbe(ReplicaIncarnation incarnation, ProbePtr probe);
+    awaitable<void> noteProbeResultLater(ProbePtr probe, RequestDigest digest, std::string account,
+                                         ReplicaIncarnation incarnation);
+    void noteProbeResult(const Probe &probe, const RequestDigest &digest,
+                         const std::string &account, const ReplicaIncarnation &incarnation);
+    void applyFeedChange(const FeedChange &change);
+    void readMemberNews(const wire::MemberStatus &status);
+    std::uint64_t writeMemberNews(std::uint64_t since, wire::MemberStatus &status) const;
+    void handleNews(QuarantineNews news, const RequestDigest &digest, std::string_view source);
+    bool isHomeGateway(const RequestDigest &digest) const;
     bool isRecorded(const QuarantineEntry &entry) const;
-    awaitable<void> record(RequestDigest digest, Milliseconds wait);
-    awaitable<void> removeRecord(RequestDigest digest, Milliseconds wait);
+    awaitable<void> writeRecord(RequestDigest digest, Milliseconds delay);
+    awaitable<void> removeRecord(RequestDigest digest, Milliseconds delay);
     awaitable<void> sweepLoop();
 
     StorePort &mStore;
@@ -110,9 +111,10 @@
     FeedService *mFeeds = nullptr;
     MemberService *mMembers = nullptr;
     Quarantine mQuarantine;
-    std::map<std::string, LookPtr> mLooks; ///< by the replica's life
-    std::map<RequestDigest, std::size_t> mRecorded; ///< crashes that the store's records tell
-    std::set<RequestDigest> mRecording;
+    std::map<std::string, ProbePtr> mProbes; ///< by the replica's life
+    std::map<RequestDigest, std::size_t>
+        mRecordedCrashCounts; ///< crashes that the store's records tell
+    std::set<RequestDigest> mWritesInProgress;
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -354,7 +354,7 @@
 {
     const bool isOther = !fields.replicaId.empty() && fields.replicaId != mChosen.id;
     mIncarnation.isLeaving = mIncarnation.isLeaving || (!isOther && fields.notice.isLeaving);
-    ReplicaLife life = mIncarnation;
+    ReplicaIncarnation life = mIncarnation;
     life.id = isOther ? fields.replicaId : mChosen.id;
     life.born = isOther ? 0 : mIncarnation.born;
     mCall.parts.replicas.noteNotice(life, fields.notice);
--- a/src/libloomjunction/gateway/replicaattempt.h
+++ b/src/libloomjunction/gateway/replicaattempt.h
@@ -77,7 +77,7 @@
     ReplicaAttempt &operator=(const ReplicaAttempt &) = delete;
 
     const ChosenReplica &chosen() const { return mChosen; }
-    const ReplicaLife &incarnation() const { return mIncarnation; }
+    const ReplicaIncarnation &incarnation() const { return mIncarnation; }
     /** Whether a connection was established, even if nothing was sent on it. */
     bool wasConnected() const { return mWasConnected; }
 
@@ -131,7 +131,7 @@
 
     CallState &mCall;
     const ChosenReplica mChosen;
-    ReplicaLife mIncarnation; ///< when chosen; has no id if the replica was gone by then
+    ReplicaIncarnation mIncarnation; ///< when chosen; has no id if the replica was gone by then
     std::unique_ptr<HttpLink> mLink;
     EventSplitter mSplitter;
     std::optional<EventBatch> mPrefetched;
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -69,7 +69,7 @@
     mAsker = std::make_unique<LoadAsker>(
         kernel, mMetrics,
         [this](const std::string &address, const ReplicaLoad &load) { takeReport(address, load); });
-    mPermits = std::make_unique<PermitAsker>(kernel);
+    mPermits = std::make_unique<PermitClient>(kernel);
     asio::co_spawn(kernel.executor(), sweepLoop(), asio::detached);
     return {};
 }
@@ -261,10 +261,10 @@
         return;
     }
     noteLimit(id, change);
-    mPermits->tell(*mReplicas.find(id));
+    mPermits->reportLimit(*mReplicas.find(id));
 }
 
-void ReplicaService::noteNotice(const ReplicaLife &incarnation, const ReplicaNotice &notice)
+void ReplicaService::noteNotice(const ReplicaIncarnation &incarnation, const ReplicaNotice &notice)
 {
     for (const std::string &header : notice.unreadable) {
         mMetrics.count("replica_notices", "unreadable");
@@ -296,7 +296,7 @@
     return held;
 }
 
-void ReplicaService::logLeaving(const ReplicaLife &incarnation, const Replica *replica)
+void ReplicaService::logLeaving(const ReplicaIncarnation &incarnation, const Replica *replica)
 {
     const bool isKnown = replica != nullptr && replica->removedAt == Instant();
     const std::string_view record = !isKnown ? "gone"
@@ -309,7 +309,7 @@
              {"inFlight", replica == nullptr ? 0 : replica->inFlight}});
 }
 
-void ReplicaService::logRest(const ReplicaLife &incarnation, const Replica *replica,
+void ReplicaService::logRest(const ReplicaIncarnation &incarnation, const Replica *replica,
                              Microseconds asked)
 {
     const auto askedMs = std::chrono::duration_cast<Milliseconds>(asked);
@@ -337,7 +337,7 @@
     }
     if (change == LimitChange::Started) {
         // Told that it must wait, it asks for no permit yet, and its sends would not count.
-        mPermits->tell(*mReplicas.find(told.replica()));
+        mPermits->reportLimit(*mReplicas.find(told.replica()));
     }
 }
 
@@ -348,7 +348,7 @@
                                                                  : "ended";
     const Replica *replica = mReplicas.find(id);
     if (change != LimitChange::Changed) {
-        mPermits->forgetTold(replica->record.incarnation());
+        mPermits->resetReportedSends(replica->record.incarnation());
     }
     mMetrics.count("replica_limits", what);
     // A replica may name another one with each answer.
@@ -373,7 +373,7 @@
         co_return false;
     }
     if (answer->has_limit()) {
-        applyLimit(limitTold(answer->limit(), now()));
+        applyLimit(fromWireLimit(answer->limit(), now()));
     }
     mMetrics.count("send_permits", answer->granted() ? "granted" : "denied");
     mReplicas.setRateLimitedUntil(
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -13,7 +13,7 @@
 #include "httplink.h"
 #include "kernel.h"
 #include "loadasker.h"
-#include "permitasker.h"
+#include "permitclient.h"
 #include "ports.h"
 #include "refusalratio.h"
 #include "replicaset.h"
@@ -33,7 +33,7 @@
 class MemberService;
 class Metrics;
 struct FeedChange;
-struct ReplicaLife;
+struct ReplicaIncarnation;
 
 /**
  * The replicas that a gateway sends requests to: what is known of each, the
@@ -76,7 +76,7 @@
     /** Asked right before a request is sent to the replica; counts those held back. */
     UnavailableReason unavailableReason(const std::string &id);
     /** What an answer of @p life says of further requests. */
-    void noteNotice(const ReplicaLife &incarnation, const ReplicaNotice &notice);
+    void noteNotice(const ReplicaIncarnation &incarnation, const ReplicaNotice &notice);
     /** Takes one repeat of a request at @p service. */
     bool takeRepeat(const std::string &service);
 
@@ -96,8 +96,9 @@
     void takeReport(const std::string &address, const ReplicaLoad &load);
     void applyLimit(const ReportedLimit &told);
     void noteLimit(const std::string &id, LimitChange change);
-    static void logLeaving(const ReplicaLife &incarnation, const Replica *replica);
-    static void logRest(const ReplicaLife &incarnation, const Replica *replica, Microseconds asked);
+    static void logLeaving(const ReplicaIncarnation &incarnation, const Replica *replica);
+    static void logRest(const ReplicaIncarnation &incarnation, const Replica *replica,
+                        Microseconds asked);
     SharedRetryBudget &budget(const std::string &service);
     void take(const FeedChange &change);
     awaitable<void> askAgents(std::vector<const Replica *> replicas);
@@ -125,7 +126,7 @@
     CallerWaitEstimator mPatience;
     RefusalRatio mRefused; ///< of all requests
     std::unique_ptr<LoadAsker> mAsker;
-    std::unique_ptr<PermitAsker> mPermits;
+    std::unique_ptr<PermitClient> mPermits;
     DirectConfig *mConfig = nullptr;
     bool mStopped = false;
 };
