--- a/src/libloomjunction/gateway/permitclient.cpp
+++ b/src/libloomjunction/gateway/permitclient.cpp
@@ -21,11 +21,14 @@
 
 namespace {
 
-// Several times the way between the farthest data centres and back. A request must not
-// wait long for a process that is gone; there are other replicas.
+// Several times the round trip between the farthest data centres. A request must not wait
+// long for a process that has ended, because other replicas can take the request.
 constexpr std::chrono::milliseconds sAnswerTimeout{50};
-// A connection that may have gone silent is not used again.
+// A connection is not used again if a query on it has had no answer for this long, because
+// it may have been lost without a reset.
 constexpr Milliseconds sUnresponsiveTimeout{400};
+// Answers arrive only after queries, so the read has no timeout to speak of; closeUnused()
+// and isUnresponsive() detect idle and lost connections.
 constexpr std::chrono::hours sReceiveTimeout{1};
 constexpr Milliseconds sIdleTimeout{10'000};
 constexpr std::size_t sMaxUnsentCount = 64;
@@ -40,14 +43,16 @@
 {
 }
 
-// The agent beside it, else its home gateway; nothing: this process.
+// The agent of the replica, or its home gateway if no agent is known; empty if this process
+// is the home gateway.
 std::optional<Tcp::endpoint> PermitClient::permitOwnerOf(const Replica &replica) const
 {
     const auto agent = mMembers.agentOf(replica.record.address);
     return agent ? agent : mMembers.homeOf(replica.record.incarnation());
 }
 
-// Who takes the replica over knows nothing of what was sent; it is told once.
+// A process that takes over a replica does not know the earlier sends, so the first query to
+// it lists them.
 wire::PermitQuery PermitClient::queryFor(const Replica &replica, const std::string &owner)
 {
     const Instant time = now();
@@ -105,7 +110,7 @@
     co_return request->answer;
 }
 
-// Connections may go silent without a reset while new ones work.
+// Connections can be lost without a reset while new ones work.
 bool PermitClient::isUnresponsive(const Link &link, Instant now)
 {
     return !link.pending.empty() && now - link.pending.front()->sentAt > sUnresponsiveTimeout;
@@ -175,7 +180,7 @@
     }
 }
 
-// Nobody answers them any more.
+// The requests of a lost connection are not answered any more.
 void PermitClient::cancelPending(Link &link)
 {
     link.unsent.clear();
--- a/src/libloomjunction/gateway/permitclient.h
+++ b/src/libloomjunction/gateway/permitclient.h
@@ -28,28 +28,28 @@
 class PermitService;
 
 /**
- * Asks whoever hands out the sends to a replica that named a limit, right before a send,
- * and tells it what the replica's answers name. Keeps one stream to each such process
- * while it is used; nothing is sent while no replica names a limit. Owned by the replica
- * service.
+ * Requests a permit before each send to a replica that states a rate limit, from the process
+ * that grants the permits of that replica (the permit owner), and reports to it the limits
+ * stated in the replica's answers. Keeps one stream to each owner while it is in use; sends
+ * nothing while no replica states a limit. Owned by the replica service.
  */
 class PermitClient
 {
 public:
     explicit PermitClient(Kernel &kernel);
 
-    /** Asks for one send to @p replica; nothing: no answer came in time. */
+    /** Requests a permit for one send to @p replica; empty if no answer arrives in time. */
     awaitable<std::optional<wire::PermitAnswer>> ask(Replica replica);
-    /** Tells what @p replica named, without an answer. */
+    /** Reports the limit of @p replica to its permit owner without requesting a permit. */
     void reportLimit(const Replica &replica);
-    /** The limit of this life began anew: what was sent until now counts again. */
+    /** Makes the next query list the recent sends again, after the limit started or ended. */
     void resetReportedSends(const std::string &incarnation) { mSendsReportedTo.erase(incarnation); }
-    /** Ends the streams that nobody used for long. */
+    /** Closes the streams that have been idle for long. */
     void closeUnused();
     void stop() { mStopped = true; }
 
 private:
-    /** A question that waits for its answer. */
+    /** A permit request without an answer yet. */
     struct PendingRequest
     {
         explicit PendingRequest(const asio::any_io_executor &executor)
@@ -60,17 +60,18 @@
         Signal answered;
         std::string incarnation; ///< of the replica
         std::optional<wire::PermitAnswer> answer;
-        bool isCancelled = false; ///< there will be no answer
+        bool isCancelled = false; ///< the connection failed; no answer will arrive
         Instant sentAt;
     };
     using PendingRequestPtr = std::shared_ptr<PendingRequest>;
 
+    /** Connection to one permit owner. */
     struct Link
     {
         PeerStreamPtr stream;
         bool isConnecting = false;
-        std::deque<wire::PermitQuery> unsent; ///< for the connection
-        std::deque<PendingRequestPtr> pending; ///< in the order of their answers
+        std::deque<wire::PermitQuery> unsent; ///< to be sent once connected
+        std::deque<PendingRequestPtr> pending; ///< in the order in which they are answered
         Instant lastUsedAt;
     };
 
@@ -87,9 +88,8 @@
     MemberService &mMembers;
     PermitService &mLocalService;
     asio::any_io_executor mExecutor;
-    std::map<std::string, Link> mLinks; ///< by the keeper's address
-    std::map<std::string, std::string>
-        mSendsReportedTo; ///< by life: the keeper that knows the sends
+    std::map<std::string, Link> mLinks; ///< by the address of the permit owner
+    std::map<std::string, std::string> mSendsReportedTo; ///< owner by incarnation
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/permitservice.cpp
+++ b/src/libloomjunction/gateway/permitservice.cpp
@@ -19,13 +19,15 @@
 
 namespace {
 
-// Gateways end a stream sooner that they do not use.
+// Longer than the time after which gateways close an idle stream themselves.
 constexpr std::chrono::seconds sStreamIdleTimeout{30};
-// Nobody asked for a replica's permits that long: its life or its need is over.
+// After this time without a query, the incarnation has ended or needs no permits.
 constexpr Milliseconds sEntryLifetime{60'000};
-// Of a gateway's own sends before it asked; more say no more.
+// Maximum number of a gateway's earlier sends that are counted from one query; more of them
+// add no information.
 constexpr int sMaxReportedSends = 256;
-// Whoever asks the wrong process learns of the members within about this time.
+// A gateway that queries a process that is not the permit owner receives the current list of
+// members within about this time.
 constexpr Milliseconds sWrongOwnerRetryDelay{200};
 
 Instant timeBefore(Instant now, std::uint64_t microseconds)
--- a/src/libloomjunction/gateway/permitservice.h
+++ b/src/libloomjunction/gateway/permitservice.h
@@ -29,25 +29,26 @@
 class MemberService;
 class PeerHub;
 
-/** Path of the streams on which gateways ask for permits. */
+/** Path of the streams on which gateways request permits. */
 inline constexpr std::string_view sPermitPath = "/send-permits";
 
-/** What is known of a limit, as a message, and back. */
+/** Converts a reported limit to a message, which holds its age, and back. */
 wire::ReplicaLimit toWireLimit(const ReportedLimit &limit, Instant now);
 ReportedLimit fromWireLimit(const wire::ReplicaLimit &limit, Instant now);
 
 /**
- * Hands out the sends to replicas that named a limit, so that all gateways together keep
- * it. An agent does so for the replica beside it. For a replica without an agent the
- * gateway does that is its home; who asks it and the home itself must agree on that, so
- * that two views of the members rarely make two homes.
+ * Grants permits for sending to replicas that state a rate limit, so that all gateways
+ * together keep the limit. Each replica has one permit owner: its agent, or its home gateway
+ * if it has no agent. A gateway grants permits only if it regards itself as the home gateway,
+ * like the gateway that sent the query; so differing views of the members rarely lead to two
+ * owners.
  */
 class PermitService final : public Service
 {
 public:
     static constexpr std::string_view sName = "permits";
 
-    /** @p replica: address of the replica beside this agent; empty: this is a gateway. */
+    /** @p replica is the address of this agent's replica; it is empty at a gateway. */
     explicit PermitService(std::string replica = {})
         : mReplicaAddress(std::move(replica))
     {
@@ -57,13 +58,13 @@
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override { mStopped = true; }
 
-    /** Answers a gateway, which may be this process. */
+    /** Answers the query of a gateway, which may be this process. */
     wire::PermitAnswer answer(const wire::PermitQuery &query);
-    /** Of the replica that was asked for last; nothing: none was. */
+    /** The limit of the replica in the latest query; empty if there is none. */
     std::optional<ReportedLimit> latestLimit() const;
 
 private:
-    /** What is known of one life of a replica. */
+    /** Limit and permits of one incarnation of a replica. */
     struct Entry
     {
         ReplicaRateLimit limit;
@@ -78,8 +79,8 @@
 
     std::string mReplicaAddress;
     MemberService *mMembers = nullptr;
-    std::map<std::string, Entry> mEntries; ///< by the replica's life
-    std::string mLatestIncarnation; ///< the life that was asked for last
+    std::map<std::string, Entry> mEntries; ///< by the replica's incarnation
+    std::string mLatestIncarnation; ///< from the latest query
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/quarantinerecord.cpp
+++ b/src/libloomjunction/gateway/quarantinerecord.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Wall clocks of boxes differ by seconds, and may jump by some.
+// The wall clocks of boxes differ by seconds and may jump by seconds.
 constexpr Milliseconds sMaxClockSkew{60'000};
 constexpr std::size_t sMaxIncarnationLength = 200;
 constexpr std::size_t sMaxIncarnationCount = 16;
@@ -50,21 +50,21 @@
     const boost::json::object object = jsonObject(value);
     const std::int64_t at = jsonInteger(object, "at", -1);
     if (at < 0) {
-        return tl::unexpected(std::string("at: expected a whole number"));
+        return tl::unexpected(std::string("at: expected a non-negative integer"));
     }
     const auto age = wallNow - WallMilliseconds(at);
     if (age < -sMaxClockSkew) {
-        return tl::unexpected(std::string("at: expected a time that is over"));
+        return tl::unexpected(std::string("at: expected a time in the past"));
     }
     const std::int64_t epoch = jsonInteger(object, "epoch", -1);
     if (epoch < 0 || epoch > sMaxEpoch) {
-        return tl::unexpected(std::string("epoch: expected a whole number"));
+        return tl::unexpected(std::string("epoch: expected an integer within its bounds"));
     }
     const boost::json::value *found = object.if_contains("crashes");
     const boost::json::array *crashes = found == nullptr ? nullptr : found->if_array();
     if (crashes == nullptr || crashes->empty() || crashes->size() > sMaxIncarnationCount) {
         return tl::unexpected("crashes: expected 1 to " + std::to_string(sMaxIncarnationCount)
-                              + " names");
+                              + " incarnations");
     }
     QuarantineEntry entry;
     entry.digest = *parsed;
@@ -74,7 +74,8 @@
     for (const boost::json::value &incarnation : *crashes) {
         if (!incarnation.is_string() || incarnation.as_string().empty()
             || incarnation.as_string().size() > sMaxIncarnationLength) {
-            return tl::unexpected(std::string("crashes: expected names"));
+            return tl::unexpected(
+                std::string("crashes: expected non-empty strings of limited length"));
         }
         entry.lives.insert(std::string(incarnation.as_string()));
     }
--- a/src/libloomjunction/gateway/quarantinerecord.h
+++ b/src/libloomjunction/gateway/quarantinerecord.h
@@ -18,10 +18,10 @@
 
 namespace Loom {
 
-/** A request that is refused, as the store keeps it. Times there are those of the wall. */
+/** Serializes a refused request for the store, where times are of the wall clock. */
 std::string quarantineRecord(const QuarantineEntry &entry, Instant now, WallMilliseconds wallNow);
 
-/** Reads a record of the request @p digest; the error names the field. */
+/** Parses the record of the request @p digest; the error states the invalid field. */
 tl::expected<QuarantineEntry, std::string> readQuarantineRecord(std::string_view digest,
                                                                 std::string_view value, Instant now,
                                                                 WallMilliseconds wallNow);
--- a/src/libloomjunction/gateway/quarantineservice.cpp
+++ b/src/libloomjunction/gateway/quarantineservice.cpp
@@ -25,19 +25,20 @@
 
 namespace {
 
-// Some dozens of times the way between the farthest data centres.
+// Several dozen times the one-way delay between the farthest data centres.
 constexpr std::chrono::milliseconds sProbeTimeout{250};
-// A stream that goes on elsewhere must not wait for a replica whose box is dark. Nobody
-// listening is told within a way there and back, some 10 ms between regions.
+// A stream that continues at another replica must not wait for a replica whose box does not
+// respond. A refused connection is reported within a round trip, some 10 ms between regions.
 constexpr std::chrono::milliseconds sMaxProbeWait{50};
-// Connections of one replica are cut within milliseconds of each other when it ends; a
-// later cut of one that lived is looked at anew.
+// When a replica ends, its connections are lost within milliseconds of each other. A loss
+// later than this after a successful probe causes a new probe.
 constexpr Milliseconds sReachableResultLifetime{100};
 constexpr Milliseconds sProbeRetention{60'000};
 constexpr std::chrono::seconds sSweepInterval{5};
-// News in one message of a gateway's state, some 100 bytes each.
+// Maximum number of entries in one status message of a gateway; each takes some 100 bytes.
 constexpr std::size_t sMaxNewsCount = 64;
-// Whoever refuses a request by what others told writes only if nobody did by then.
+// A gateway that refuses a request because of news from other processes writes the record
+// only if no other gateway has written it after this delay.
 constexpr Milliseconds sRemoteWriteDelay{1'000};
 constexpr Milliseconds sMaxRemoveDelay{5'000};
 constexpr std::chrono::milliseconds sRecordRetryDelay{400};
@@ -74,12 +75,12 @@
 {
     const auto remaining = mQuarantine.refusedFor(digest, false, now());
     if (!remaining) {
-        return std::nullopt; // most requests: whose home it is need not be worked out
+        return std::nullopt; // the usual case; the home gateway need not be determined
     }
     return mQuarantine.refusedFor(digest, isHomeGateway(digest), now());
 }
 
-// The same gateway for all that know the same members.
+// All gateways that know the same members determine the same home gateway.
 bool QuarantineService::isHomeGateway(const RequestDigest &digest) const
 {
     const std::uint64_t ownWeight = rendezvousWeight(digest.text(), mMembers->key());
@@ -89,9 +90,9 @@
     });
 }
 
-// A cut connection is also what a reset, a load of weights or a reused connection looks
-// like. A replica that still takes connections did not end, and its word against a request
-// would refuse those that only ran where connections are reset.
+// A lost connection may also be due to a reset, to loading of weights, or to the closing of a
+// reused connection. A replica that still accepts connections has not crashed; counting it
+// would refuse requests that merely ran where connections are reset.
 QuarantineService::ProbePtr QuarantineService::probeReplica(const ReplicaIncarnation &incarnation)
 {
     ProbePtr &probe = mProbes[incarnation.text()];
--- a/src/libloomjunction/gateway/quarantineservice.h
+++ b/src/libloomjunction/gateway/quarantineservice.h
@@ -31,22 +31,22 @@
 class Metrics;
 struct FeedChange;
 
-/** One life of a replica that a request was sent to. */
+/** The incarnation of a replica to which a request was sent. */
 struct ReplicaIncarnation
 {
     std::string id;
     std::uint64_t born = 0;
     std::string address; ///< IP:PORT
-    bool isLeaving = false; ///< its end is planned, by its record or its answers
+    bool isLeaving = false; ///< its record or its answers announce its shutdown
 
-    /** The same at every gateway. */
+    /** Identifies the incarnation; the same at every gateway. */
     std::string text() const { return id + sIncarnationSeparator + std::to_string(born); }
 };
 
 /**
- * Keeps requests that end the replicas that run them from running again, at whichever
- * gateway they come. Crashes are told to the other gateways at once; a request that is
- * refused is also recorded in the store, for those that begin when nobody is left to ask.
+ * Prevents requests that crash the replicas that run them from running again, at any gateway.
+ * Crashes are reported to the other gateways at once. A refused request is also recorded in
+ * the store, for gateways that start when no other gateway is running.
  */
 class QuarantineService final : public Service
 {
@@ -59,23 +59,24 @@
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override { mStopped = true; }
 
-    /** Nothing is known of any request, so none need be looked up. */
+    /** Whether no crashes are known, so that requests need not be looked up. */
     bool isEmpty() const { return mQuarantine.isEmpty(); }
+    /** Remaining time for which the request is refused; empty if it may run. */
     std::optional<Milliseconds> refusedFor(const RequestDigest &digest) const;
-    /** It is sent to a replica. */
+    /** The request is sent to a replica. */
     void noteSent(const RequestDigest &digest) { mQuarantine.noteSent(digest, now()); }
     bool isHeldBack(const RequestDigest &digest) const { return mQuarantine.isHeldBack(digest); }
 
     /**
-     * The connection that the request ran on was cut: looks whether the replica ended, and
-     * returns when that is known, or some tens of milliseconds later.
+     * The connection on which the request ran was lost. Probes whether the replica has ended,
+     * and returns when that is known or after some tens of milliseconds.
      */
     awaitable<void> noteConnectionLost(RequestDigest digest, std::string account,
                                        ReplicaIncarnation incarnation);
     void noteGoodEnd(const RequestDigest &digest);
 
 private:
-    /** A look at a replica, shared by all whose connections were cut. */
+    /** Connection attempt to a replica, shared by all requests that lost their connection. */
     struct Probe
     {
         explicit Probe(const asio::any_io_executor &executor)
@@ -84,7 +85,7 @@
         }
 
         Signal done;
-        std::optional<bool> isUnreachable;
+        std::optional<bool> isUnreachable; ///< empty until the attempt is finished
         Instant finishedAt;
     };
     using ProbePtr = std::shared_ptr<Probe>;
@@ -111,10 +112,10 @@
     FeedService *mFeeds = nullptr;
     MemberService *mMembers = nullptr;
     Quarantine mQuarantine;
-    std::map<std::string, ProbePtr> mProbes; ///< by the replica's life
+    std::map<std::string, ProbePtr> mProbes; ///< by the replica's incarnation
     std::map<RequestDigest, std::size_t>
-        mRecordedCrashCounts; ///< crashes that the store's records tell
-    std::set<RequestDigest> mWritesInProgress;
+        mRecordedCrashCounts; ///< number of crashes in each stored record
+    std::set<RequestDigest> mWritesInProgress; ///< requests whose record is being written
     bool mStopped = false;
 };
 
--- a/tests/gateway/test_leaving.cpp
+++ b/tests/gateway/test_leaving.cpp
@@ -12,8 +12,8 @@
 
 using namespace Loom;
 
-// What a caller's close does in each state of its request. The states stand in
-// the order in which a request passes through them (docs/operators/callers.md).
+// Effect of a caller's disconnect in each state of its request. The tests follow the order in
+// which a request passes through the states (docs/operators/callers.md).
 
 namespace {
 
@@ -40,7 +40,7 @@
             false};
 }
 
-/** The head of a stream and its first event, and no more. */
+/** Sends only the head of a stream and its first event. */
 ScriptedReplica::Answer startsStream(const std::string &head)
 {
     return {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
@@ -50,7 +50,7 @@
             false};
 }
 
-/** A gateway and callers whose connections the test holds. */
+/** A gateway and a caller whose connection the test controls. */
 class DisconnectFixture : public GatewayFixture
 {
 public:
@@ -71,7 +71,7 @@
         co_await asio::async_write(*caller, asio::buffer(bytes), sAsValue);
     }
 
-    /** Until nothing of any request is left at the gateway. */
+    /** Waits until the gateway has no request in flight. */
     awaitable<void> waitUntilIdle()
     {
         co_await waitFor([this] { return front().inFlight() == 0; });
@@ -130,7 +130,7 @@
     acceptor.open(Tcp::v4());
     acceptor.bind(Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     acceptor.listen(0);
-    // Nobody accepts and the queue is full, so connecting takes until its time is over.
+    // Nothing accepts connections and the queue is full, so the connect runs into its timeout.
     std::vector<Tcp::socket> queued;
     constexpr std::size_t socketCount = 3;
     for (std::size_t index = 0; index < socketCount; ++index) {
@@ -148,7 +148,7 @@
         co_await fixture.waitFor([&] { return fixture.front().inFlight() == 1; });
         fixture.caller->close();
         co_await fixture.waitUntilIdle();
-        // What has come in meanwhile has brought no byte.
+        // The connections that have arrived meanwhile carry no data.
         acceptor.non_blocking(true);
         boost::system::error_code error;
         while (!error) {
@@ -175,9 +175,9 @@
     });
 }
 
-// The watch for the caller's close ended for good once a byte of a next request
-// lay behind the one in hand: it looked for the end behind the byte and found the
-// byte. The replica then worked on until the route's time, here ten minutes.
+// Detection of the caller's disconnect stopped permanently once a byte of a pipelined request
+// was in the socket, because the check for the end of the connection found that byte instead.
+// The replica then continued until the timeout of the route, here ten minutes.
 BOOST_AUTO_TEST_CASE(caller_disconnect_after_pipelined_byte_is_detected)
 {
     DisconnectFixture fixture;
@@ -187,7 +187,8 @@
         co_await fixture.sendAsCaller(requestText("/long/a", "id1"));
         co_await fixture.waitFor([&] { return replica.requests() == 1; });
         co_await asio::async_write(*fixture.caller, asio::buffer(std::string("P")), sAsValue);
-        // A whole call passes meanwhile, so the byte has been seen; it reaches no replica.
+        // A complete call passes meanwhile, so that the gateway has seen the byte. The call itself
+        // reaches no replica.
         const auto other = co_await fixture.call("POST", "/model/a", "other");
         BOOST_REQUIRE(other);
         fixture.caller->close();
@@ -196,8 +197,9 @@
     });
 }
 
-// As above, but request, byte and close lie there together, as after a standstill:
-// both looks at the socket found the byte and took the caller for living.
+// Request, pipelined byte and close are in the socket together, as after a pause of the
+// gateway process. Both checks of the socket found the byte and regarded the caller as
+// connected.
 BOOST_AUTO_TEST_CASE(request_followed_by_pipelined_data_and_close_is_not_sent)
 {
     DisconnectFixture fixture;
@@ -209,7 +211,7 @@
         asio::io_context own{1};
         Tcp::socket socket(own);
         socket.connect(fixture.front().localEndpoint());
-        // More than the gateway reads at once, so that some stays in the socket.
+        // More than the gateway reads at once, so that some data stays in the socket.
         const std::string next(std::size_t{40} * 1024, 'P');
         asio::write(socket, asio::buffer(requestText("/once/a", "gone") + next));
         socket.close();
@@ -223,7 +225,7 @@
 BOOST_AUTO_TEST_CASE(caller_disconnect_during_long_body_closes_replica_connection)
 {
     DisconnectFixture fixture;
-    // Its head is answered by nothing and its body is read on and on.
+    // The replica does not respond to the head and continues to read the body.
     ScriptedReplica &replica = fixture.addReplica("i-1", "plain", neverResponds);
     fixture.run([&]() -> awaitable<void> {
         co_await fixture.waitUntilReady();
@@ -243,7 +245,8 @@
         ScriptedReplica &replica = fixture.addReplica("i-1", "plain", startsStream);
         fixture.run([&]() -> awaitable<void> {
             co_await fixture.waitUntilReady();
-            // Only the caller's leaving ends a stream on this route while the test waits.
+            // The timeouts of this route are so long that only the disconnect can end the stream
+            // during the test.
             co_await fixture.sendAsCaller(requestText("/calm/a", "id1"));
             std::string read;
             co_await asio::async_read_until(*fixture.caller, asio::dynamic_buffer(read),
--- a/tests/gateway/test_statedlimits.cpp
+++ b/tests/gateway/test_statedlimits.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** A gateway with one plain replica, whose answers the test sets. */
+/** A gateway with one replica of the service "plain", whose answers the test sets. */
 class StatedLimitFixture
 {
 public:
@@ -30,13 +30,13 @@
         });
     }
 
-    /** Lets the replica answer once, with @p status and the headers @p named. */
+    /** Sends requests until the replica has answered with @p status and @p limitHeaders. */
     awaitable<void> sendRequestUntilAnswered(std::string status, std::string limitHeaders)
     {
         mStatus = std::move(status);
         mLimitHeaders = std::move(limitHeaders);
         const int before = replica.requests();
-        // A request that is denied tries later.
+        // The gateway rejects requests while no permit is available.
         while (replica.requests() == before) {
             const std::string id = "id" + std::to_string(++mCallCount);
             co_await gateway.call("POST", "/brief/a", id);
