--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -302,7 +302,7 @@
         }
         const bool wasSent = mSendCount > 0;
         mStopReason = stopReason();
-        if (mStopReason.empty() && wasSent && !mCall.parts.replicas.takeRepeat(mCall.serviceName)) {
+        if (mStopReason.empty() && wasSent && !mCall.parts.replicas.takeRetry(mCall.serviceName)) {
             mStopReason = "no repeat left";
         }
         if (!mStopReason.empty()) {
@@ -609,7 +609,7 @@
     if (!co_await mCall.parts.replicas.takePermit(chosen->id)) {
         co_return std::nullopt;
     }
-    if (!isHedgeNeeded() || !mCall.parts.replicas.takeRepeat(mCall.serviceName)) {
+    if (!isHedgeNeeded() || !mCall.parts.replicas.takeRetry(mCall.serviceName)) {
         co_return std::nullopt;
     }
     co_return *chosen;
@@ -725,7 +725,7 @@
     const bool isJudged = outcome == "answered" && mCall.route != nullptr;
     const std::string_view late = isJudged ? mTimes.latenessCause(*mCall.route, mSendCount) : "";
     mCall.parts.metrics.count("calls", outcome);
-    mCall.parts.replicas.noteEnd(status == 503);
+    mCall.parts.replicas.noteRequestEnd(status == 503);
     if (!late.empty()) {
         mCall.parts.metrics.count("late", late);
     }
--- a/src/libloomjunction/gateway/loadasker.h
+++ b/src/libloomjunction/gateway/loadprober.h
@@ -1,5 +1,5 @@
 /*
- * loadasker.h
+ * loadprober.h
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (libloomjunction).
@@ -29,7 +29,7 @@
 class PeerHub;
 
 /** One question to the agent of the replica at an address. */
-struct LoadQuestion
+struct LoadProbe
 {
     std::string address;
     std::uint32_t patientWaiting = 0; ///< what this gateway has there, to be answered late
@@ -39,60 +39,60 @@
  * Asks the agents of replicas how these stand, right before a choice among
  * them. Keeps one stream to each agent that is asked. Owned by the replica service.
  */
-class LoadAsker
+class LoadProber
 {
 public:
-    using Heard = std::function<void(const std::string &address, const ReplicaLoad &load)>;
+    using ReportHandler = std::function<void(const std::string &address, const ReplicaLoad &load)>;
 
-    LoadAsker(Kernel &kernel, Metrics &metrics, Heard heard);
+    LoadProber(Kernel &kernel, Metrics &metrics, ReportHandler reportHandler);
 
     /**
      * Asks all at once and waits until they have answered, or some have and the
-     * others take long, or none has for longer; heardAt() tells who did.
+     * others take long, or none has for longer; lastReportAt() tells who did.
      */
-    awaitable<void> ask(std::vector<LoadQuestion> questions);
+    awaitable<void> probe(std::vector<LoadProbe> probes);
     /** Tells the agent that a request is on its way to the replica. */
-    void claim(const LoadQuestion &question);
+    void announceRequest(const LoadProbe &probe);
     /** Asks without waiting, so that the link is there when it is needed. */
-    void keepWarm(const LoadQuestion &question);
+    void probeInBackground(const LoadProbe &probe);
     /** It left a question unanswered lately. */
-    bool isSilent(const std::string &address) const;
+    bool isUnresponsive(const std::string &address) const;
     /** When the agent was heard last; zero: not yet. */
-    Instant heardAt(const std::string &address) const;
+    Instant lastReportAt(const std::string &address) const;
     /** Ends the links that nobody used for long. */
     void closeUnused();
     void stop() { mStopped = true; }
 
 private:
-    struct Link
+    struct AgentConnection
     {
         PeerStreamPtr stream;
         bool isConnecting = false;
         std::uint32_t patientWaiting = 0; ///< to be told with the next question
-        bool hasQuestion = false; ///< one waits for the connection
-        Instant askedAt; ///< the oldest question without an answer; zero: none
-        std::deque<Instant> open; ///< questions on the stream that wait for their answers
-        Instant usedAt;
-        Instant heardAt;
-        Instant silentUntil;
-        std::uint32_t missed = 0; ///< questions in a row, answered late or not at all
+        bool hasUnsentProbe = false; ///< one waits for the connection
+        Instant oldestUnansweredAt; ///< the oldest question without an answer; zero: none
+        std::deque<Instant> sentTimes; ///< questions on the stream that wait for their answers
+        Instant lastUsedAt;
+        Instant lastReportAt;
+        Instant unresponsiveUntil;
+        std::uint32_t missedProbes = 0; ///< questions in a row, answered late or not at all
     };
 
-    void send(const LoadQuestion &question, Instant now);
+    void sendProbe(const LoadProbe &probe, Instant now);
     awaitable<void> connect(std::string address);
     awaitable<void> receive(std::string address, PeerStreamPtr stream);
-    void avoid(const std::string &address, Instant now);
-    void noteMissed(const std::string &address, Instant now);
-    static void put(Link &link, Instant askedAt);
-    static Microseconds answerTime(Link &link, Instant now);
-    void dropStream(Link &link);
+    void markUnresponsive(const std::string &address, Instant now);
+    void noteMissedProbe(const std::string &address, Instant now);
+    static void sendQuery(AgentConnection &connection, Instant sentAt);
+    static Microseconds takeRoundTrip(AgentConnection &connection, Instant now);
+    void closeConnection(AgentConnection &connection);
 
     PeerHub &mHub;
     MemberService &mMembers;
     Metrics &mMetrics;
-    Heard mHeard;
-    Signal mAnswered;
-    std::map<std::string, Link> mLinks;
+    ReportHandler mReportHandler;
+    Signal mReportReceived;
+    std::map<std::string, AgentConnection> mConnections;
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/loadreporter.cpp
+++ b/src/libloomjunction/gateway/loadreporter.cpp
@@ -23,24 +23,24 @@
 constexpr std::string_view sLoadPath = "/replica-load";
 // Within this time an engine of usual speed begins or ends a fraction of a
 // request; questions that come together share one look.
-constexpr Milliseconds sFreshFor{8};
+constexpr Milliseconds sMaxLoadAge{8};
 // A look at the own box takes a fraction of a millisecond, unless the engine hangs.
-constexpr Milliseconds sLookTime{50};
+constexpr Milliseconds sPollTimeout{50};
 // Gateways ask at least this often while they live, several times over.
-constexpr std::chrono::seconds sGatewaySilence{10};
+constexpr std::chrono::seconds sGatewayTimeout{10};
 constexpr double sPermille = 1'000;
 
 } // namespace
 
-LoadReporter::LoadReporter(std::string replica)
-    : mReplica(std::move(replica))
+LoadReporter::LoadReporter(std::string replicaAddress)
+    : mReplicaAddress(std::move(replicaAddress))
 {
 }
 
 tl::expected<void, std::string> LoadReporter::start(Kernel &kernel)
 {
     mMembers = &kernel.find<MemberService>(MemberService::sName);
-    mLooked = std::make_unique<Signal>(kernel.executor());
+    mLoadUpdated = std::make_unique<Signal>(kernel.executor());
     kernel.find<PeerHub>(PeerHub::sName)
         .serve(std::string(sLoadPath),
                [this](PeerStreamPtr stream) { return serve(std::move(stream)); });
@@ -50,43 +50,43 @@
 void LoadReporter::stop()
 {
     mStopped = true;
-    mLooked->notify();
+    mLoadUpdated->notify();
 }
 
 void LoadReporter::set(const ReplicaLoad &load)
 {
     mLoad = load;
-    mLoadAt = now();
-    mLooked->notify();
+    mLoadUpdatedAt = now();
+    mLoadUpdated->notify();
 }
 
-std::uint32_t LoadReporter::patientWaiting() const
+std::uint32_t LoadReporter::totalPatientWaiting() const
 {
-    std::uint32_t sum = 0;
-    for (const auto &[stream, count] : mPatient) {
-        sum += count;
+    std::uint32_t total = 0;
+    for (const auto &[stream, count] : mPatientWaiting) {
+        total += count;
     }
-    return sum;
+    return total;
 }
 
 awaitable<void> LoadReporter::refresh()
 {
-    if (mLoad && now() - mLoadAt <= sFreshFor) {
+    if (mLoad && now() - mLoadUpdatedAt <= sMaxLoadAge) {
         co_return;
     }
-    if (mIsLooking) {
-        co_await mLooked->waitFor(sLookTime);
+    if (mIsPolling) {
+        co_await mLoadUpdated->waitFor(sPollTimeout);
         co_return;
     }
-    mIsLooking = true;
-    if (mLook) {
-        co_await mLook();
+    mIsPolling = true;
+    if (mEnginePoll) {
+        co_await mEnginePoll();
     }
-    mIsLooking = false;
+    mIsPolling = false;
 }
 
 // Whoever asks knows before its first request that the replica takes few.
-void LoadReporter::tellLimit(wire::ReplicaLoadReport &report) const
+void LoadReporter::addLimit(wire::ReplicaLoadReport &report) const
 {
     const auto known = mPermits == nullptr ? std::nullopt : mPermits->newest();
     if (!known) {
@@ -100,14 +100,14 @@
 awaitable<void> LoadReporter::serve(PeerStreamPtr stream)
 {
     while (stream->isOpen() && !mStopped) {
-        const auto deadline = std::chrono::steady_clock::now() + sGatewaySilence;
+        const auto deadline = std::chrono::steady_clock::now() + sGatewayTimeout;
         const auto query = co_await stream->receiveMessage<wire::LoadQuery>(deadline);
         if (!query || !*query) {
             break;
         }
-        mPatient[stream.get()] = (*query)->waiting_patient();
+        mPatientWaiting[stream.get()] = (*query)->waiting_patient();
         if ((*query)->claim()) {
-            mClaims.note(now());
+            mInTransit.note(now());
             continue;
         }
         co_await refresh();
@@ -115,21 +115,21 @@
             continue;
         }
         wire::ReplicaLoadReport report;
-        report.set_address(mReplica);
+        report.set_address(mReplicaAddress);
         report.set_member(mMembers->key());
         report.set_running(mLoad->running);
-        report.set_waiting(mLoad->waiting + mClaims.notVisibleAt(mLoadAt));
-        report.set_waiting_patient(patientWaiting());
+        report.set_waiting(mLoad->waiting + mInTransit.notVisibleAt(mLoadUpdatedAt));
+        report.set_waiting_patient(totalPatientWaiting());
         report.set_memory_used(mLoad->memoryUsed);
         report.set_memory_total(mLoad->memoryTotal);
         report.set_pace_permille(static_cast<std::uint32_t>(mLoad->pace * sPermille));
         report.set_weights_version(mLoad->weightsVersion);
         report.set_accepting(mLoad->isAccepting);
         report.set_link_slow(mLoad->isLinkSlow);
-        tellLimit(report);
+        addLimit(report);
         stream->send(report);
     }
-    mPatient.erase(stream.get());
+    mPatientWaiting.erase(stream.get());
     stream->reset();
 }
 
--- a/src/libloomjunction/gateway/loadreporter.h
+++ b/src/libloomjunction/gateway/loadreporter.h
@@ -42,10 +42,10 @@
 public:
     static constexpr std::string_view sName = "load-reporter";
     /** Looks at the engine and calls set(). */
-    using Look = std::function<awaitable<void>()>;
+    using EnginePoll = std::function<awaitable<void>()>;
 
-    /** @p replica: the address under which the replica is recorded. */
-    explicit LoadReporter(std::string replica);
+    /** @p replicaAddress: the address under which the replica is recorded. */
+    explicit LoadReporter(std::string replicaAddress);
 
     std::string_view name() const override { return sName; }
     tl::expected<void, std::string> start(Kernel &kernel) override;
@@ -53,25 +53,25 @@
 
     /** Tells gateways, too, what is known there of the replica's limit. */
     void setPermits(const PermitService &permits) { mPermits = &permits; }
-    void setLook(Look look) { mLook = std::move(look); }
+    void setEnginePoll(EnginePoll poll) { mEnginePoll = std::move(poll); }
     void set(const ReplicaLoad &load);
 
 private:
     awaitable<void> serve(PeerStreamPtr stream);
     awaitable<void> refresh();
-    void tellLimit(wire::ReplicaLoadReport &report) const;
-    std::uint32_t patientWaiting() const;
+    void addLimit(wire::ReplicaLoadReport &report) const;
+    std::uint32_t totalPatientWaiting() const;
 
-    std::string mReplica;
+    std::string mReplicaAddress;
     MemberService *mMembers = nullptr;
     const PermitService *mPermits = nullptr;
-    std::unique_ptr<Signal> mLooked;
-    Look mLook;
-    bool mIsLooking = false;
+    std::unique_ptr<Signal> mLoadUpdated;
+    EnginePoll mEnginePoll;
+    bool mIsPolling = false;
     std::optional<ReplicaLoad> mLoad;
-    Instant mLoadAt;
-    InTransitCount mClaims;
-    std::map<const PeerStream *, std::uint32_t> mPatient; ///< waiting here, by gateway
+    Instant mLoadUpdatedAt;
+    InTransitCount mInTransit;
+    std::map<const PeerStream *, std::uint32_t> mPatientWaiting; ///< waiting here, by gateway
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -128,7 +128,7 @@
         = mWasConnected ? ReplicaOutcome::Abandoned : ReplicaOutcome::Unreachable;
     replicas.replicas().ended(mChosen.id, mWasRequestSent ? outcomeOf(result) : unsent, now());
     if (mLink) {
-        replicas.giveBack(mChosen.id, std::move(mLink));
+        replicas.releaseLink(mChosen.id, std::move(mLink));
     }
     if (mWasRequestSent && !std::holds_alternative<AttemptCompleted>(result)) {
         mCall.parts.metrics.count("tries_failed", mCall.serviceName);
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -30,18 +30,18 @@
 
 // Some dozens of times the way between the farthest data centres.
 constexpr std::chrono::milliseconds sConnectTimeout{250};
-constexpr std::chrono::milliseconds sSweepEvery{500};
+constexpr std::chrono::milliseconds sSweepInterval{500};
 // An agent is asked at least this often, so that its loss shows within a second.
-constexpr Milliseconds sWarmEvery{900};
+constexpr Milliseconds sMaxReportAge{900};
 // A replica that drains is read of within this part of its draining time; calls to
 // the store have a price, and replicas' heartbeats always give something to read.
-constexpr int sReadsWhileDraining = 10;
-constexpr Milliseconds sLeastPause{100};
-constexpr Milliseconds sMostPause{400};
+constexpr int sReadsPerDrainTime = 10;
+constexpr Milliseconds sMinReadInterval{100};
+constexpr Milliseconds sMaxReadInterval{400};
 // After a question for a permit that nobody answered.
-constexpr Milliseconds sKeeperPause{200};
+constexpr Milliseconds sPermitRetryDelay{200};
 // Of a replica's connections; the rest is for entries that this one cannot see.
-constexpr double sConnectionsUsed = 0.8;
+constexpr double sConnectionShare = 0.8;
 
 } // namespace
 
@@ -51,7 +51,7 @@
     , mMetrics(metrics)
     , mSettings(settings)
     , mBounds(settings.bounds.retries)
-    , mBorn(now())
+    , mStartedAt(now())
     , mReplicas(settings.bounds.drainTime, settings.box)
 {
 }
@@ -60,21 +60,22 @@
 {
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
-    mFeeds->listen(Feed::Replicas, [this](const FeedChange &change) { take(change); });
+    mFeeds->listen(Feed::Replicas, [this](const FeedChange &change) { applyChange(change); });
     mFeeds->passOver(Feed::Replicas, [this](const FeedRecord &known, const FeedRecord &next) {
-        return saysTheSame(known, next);
+        return hasSameContent(known, next);
     });
     setBounds(mSettings.bounds);
     mConfig = &kernel.find<DirectConfig>(DirectConfig::sName);
-    mAsker = std::make_unique<LoadAsker>(
-        kernel, mMetrics,
-        [this](const std::string &address, const ReplicaLoad &load) { takeReport(address, load); });
+    mLoadProber = std::make_unique<LoadProber>(
+        kernel, mMetrics, [this](const std::string &address, const ReplicaLoad &load) {
+            applyReport(address, load);
+        });
     mPermits = std::make_unique<PermitAsker>(kernel);
     asio::co_spawn(kernel.executor(), sweepLoop(), asio::detached);
     return {};
 }
 
-void ReplicaService::take(const FeedChange &change)
+void ReplicaService::applyChange(const FeedChange &change)
 {
     const std::string &id = change.record.key;
     if (!change.record.value) {
@@ -92,14 +93,14 @@
         return;
     }
     const Replica *known = mReplicas.find(id);
-    const bool isReborn = known != nullptr && record->isOtherIncarnation(known->record);
-    if (isReborn) {
+    const bool hasRestarted = known != nullptr && record->isOtherIncarnation(known->record);
+    if (hasRestarted) {
         closeIdle(id);
     }
-    const bool isNews = known == nullptr || isReborn
+    const bool isStateChange = known == nullptr || hasRestarted
         || known->record.isDraining != record->isDraining
         || known->record.weightsVersion != record->weightsVersion;
-    if (isNews) {
+    if (isStateChange) {
         logLine(LogLevel::Info, "replica-state",
                 {{"replica", id},
                  {"service", record->service},
@@ -107,7 +108,7 @@
                  {"draining", record->isDraining},
                  {"weights", record->weightsVersion},
                  {"born", record->born},
-                 {"reborn", isReborn},
+                 {"reborn", hasRestarted},
                  {"offset", change.record.offset}});
     }
     record->offset = change.record.offset;
@@ -122,32 +123,32 @@
     }
     mReplicas.setDrainTime(bounds.drainTime);
     mFeeds->setReplicasPause(
-        std::clamp(bounds.drainTime / sReadsWhileDraining, sLeastPause, sMostPause));
+        std::clamp(bounds.drainTime / sReadsPerDrainTime, sMinReadInterval, sMaxReadInterval));
 }
 
-bool ReplicaService::saysTheSame(const FeedRecord &known, const FeedRecord &next) const
+bool ReplicaService::hasSameContent(const FeedRecord &known, const FeedRecord &next) const
 {
-    const auto before = mRecords.replicaRecord(known.key, *known.value);
-    const auto after = mRecords.replicaRecord(next.key, *next.value);
-    return before && after && before->hasSameContent(*after);
+    const auto knownRecord = mRecords.replicaRecord(known.key, *known.value);
+    const auto nextRecord = mRecords.replicaRecord(next.key, *next.value);
+    return knownRecord && nextRecord && knownRecord->hasSameContent(*nextRecord);
 }
 
 void ReplicaService::stop()
 {
     mStopped = true;
-    mAsker->stop();
+    mLoadProber->stop();
     mPermits->stop();
 }
 
-awaitable<void> ReplicaService::askAgents(std::vector<const Replica *> replicas)
+awaitable<void> ReplicaService::probeAgents(std::vector<const Replica *> replicas)
 {
-    std::vector<LoadQuestion> questions;
-    questions.reserve(replicas.size());
+    std::vector<LoadProbe> probes;
+    probes.reserve(replicas.size());
     for (const Replica *replica : replicas) {
-        questions.push_back({replica->record.address, replica->patientWaiting});
+        probes.push_back({replica->record.address, replica->patientWaiting});
     }
-    if (!questions.empty()) {
-        co_await mAsker->ask(std::move(questions));
+    if (!probes.empty()) {
+        co_await mLoadProber->probe(std::move(probes));
     }
 }
 
@@ -158,7 +159,7 @@
     std::vector<std::string> answered;
     for (const std::string &id : ids) {
         const Replica *replica = mReplicas.find(id);
-        if (replica != nullptr && mAsker->heardAt(replica->record.address) >= since) {
+        if (replica != nullptr && mLoadProber->lastReportAt(replica->record.address) >= since) {
             answered.push_back(id);
         }
     }
@@ -170,31 +171,31 @@
     if (query.engine == nullptr) {
         co_return mReplicas.choose(query, now());
     }
-    ProbedChoice choice(mReplicas, query, silentReplicas());
-    const Instant begun = now();
+    ProbedChoice choice(mReplicas, query, unresponsiveReplicas());
+    const Instant startedAt = now();
     while (!choice.isDone()) {
-        co_await askAgents(choice.replicasToProbe(now()));
+        co_await probeAgents(choice.replicasToProbe(now()));
         // Late answers to the questions of an earlier round count, too.
-        choice.decide(answeredSince(begun, choice.asked()), now() - begun, now());
+        choice.decide(answeredSince(startedAt, choice.asked()), now() - startedAt, now());
     }
     mReplicas.noteChoice(query, choice.choice(), now());
     co_return choice.choice();
 }
 
-std::vector<std::string> ReplicaService::silentReplicas() const
+std::vector<std::string> ReplicaService::unresponsiveReplicas() const
 {
-    std::vector<std::string> silent;
+    std::vector<std::string> unresponsive;
     for (const auto &[id, replica] : mReplicas.all()) {
-        if (mAsker->isSilent(replica.record.address)) {
-            silent.push_back(id);
+        if (mLoadProber->isUnresponsive(replica.record.address)) {
+            unresponsive.push_back(id);
         }
     }
-    return silent;
+    return unresponsive;
 }
 
 // Links to the agents of the neighbours stand before the first request comes,
 // and an agent that dies is missed although nobody sends it requests.
-void ReplicaService::keepNeighboursWarm()
+void ReplicaService::probeIdleAgents()
 {
     const RouteTablePtr &table = mConfig->table();
     if (!table) {
@@ -209,18 +210,18 @@
         query.dataCentre = mSettings.dataCentre;
         query.engine = &*service.engine;
         for (const Replica *replica : mReplicas.subset(query, now())) {
-            keepWarm({replica->record.address, replica->patientWaiting});
+            probeIfStale({replica->record.address, replica->patientWaiting});
         }
     }
     for (const Member &stager : mMembers->watchedStagers()) {
-        keepWarm({stager.engine, 0});
+        probeIfStale({stager.engine, 0});
     }
 }
 
-void ReplicaService::keepWarm(const LoadQuestion &question)
+void ReplicaService::probeIfStale(const LoadProbe &probe)
 {
-    if (now() - mAsker->heardAt(question.address) >= sWarmEvery) {
-        mAsker->keepWarm(question);
+    if (now() - mLoadProber->lastReportAt(probe.address) >= sMaxReportAge) {
+        mLoadProber->probeInBackground(probe);
     }
 }
 
@@ -228,13 +229,13 @@
 {
     mReplicas.began(id, isPatient, now());
     if (const Replica *replica = mReplicas.find(id)) {
-        mAsker->claim({replica->record.address, replica->patientWaiting});
+        mLoadProber->announceRequest({replica->record.address, replica->patientWaiting});
     }
 }
 
-void ReplicaService::answerBegan(const std::string &id, bool isPatient, Microseconds took)
+void ReplicaService::answerBegan(const std::string &id, bool isPatient, Microseconds elapsed)
 {
-    mReplicas.answerBegan(id, isPatient, took);
+    mReplicas.answerBegan(id, isPatient, elapsed);
 }
 
 void ReplicaService::answerMissed(const std::string &id, bool isPatient)
@@ -288,12 +289,12 @@
 UnavailableReason ReplicaService::unavailableReason(const std::string &id)
 {
     const Replica *replica = mReplicas.find(id);
-    const UnavailableReason held
+    const UnavailableReason reason
         = replica == nullptr ? UnavailableReason::Gone : replica->unavailableReason(now());
-    if (held != UnavailableReason::Nothing) {
-        mMetrics.count("sends_held_back", unavailableReasonName(held));
+    if (reason != UnavailableReason::Nothing) {
+        mMetrics.count("sends_held_back", unavailableReasonName(reason));
     }
-    return held;
+    return reason;
 }
 
 void ReplicaService::logLeaving(const ReplicaLife &incarnation, const Replica *replica)
@@ -310,18 +311,18 @@
 }
 
 void ReplicaService::logRest(const ReplicaLife &incarnation, const Replica *replica,
-                             Microseconds asked)
+                             Microseconds restTime)
 {
-    const auto askedMs = std::chrono::duration_cast<Milliseconds>(asked);
+    const auto restMs = std::chrono::duration_cast<Milliseconds>(restTime);
     logLine(LogLevel::Info, "replica-rest",
             {{"replica", incarnation.id},
              {"born", incarnation.born},
-             {"askedMs", askedMs.count()},
+             {"askedMs", restMs.count()},
              {"inFlight", replica == nullptr ? 0 : replica->inFlight},
              {"sentLately", replica == nullptr ? 0 : replica->recentSends.size()}});
 }
 
-void ReplicaService::takeReport(const std::string &address, const ReplicaLoad &load)
+void ReplicaService::applyReport(const std::string &address, const ReplicaLoad &load)
 {
     mReplicas.report(address, load, now());
     if (load.limit) {
@@ -329,34 +330,34 @@
     }
 }
 
-void ReplicaService::applyLimit(const ReportedLimit &told)
+void ReplicaService::applyLimit(const ReportedLimit &limit)
 {
-    const LimitChange change = mReplicas.applyLimit(told, now());
+    const LimitChange change = mReplicas.applyLimit(limit, now());
     if (change != LimitChange::Nothing) {
-        noteLimit(std::string(told.replica()), change);
+        noteLimit(std::string(limit.replica()), change);
     }
     if (change == LimitChange::Started) {
         // Told that it must wait, it asks for no permit yet, and its sends would not count.
-        mPermits->tell(*mReplicas.find(told.replica()));
+        mPermits->tell(*mReplicas.find(limit.replica()));
     }
 }
 
 void ReplicaService::noteLimit(const std::string &id, LimitChange change)
 {
-    const std::string_view what = change == LimitChange::Started ? "begun"
-        : change == LimitChange::Changed                         ? "changed"
-                                                                 : "ended";
+    const std::string_view changeName = change == LimitChange::Started ? "begun"
+        : change == LimitChange::Changed                               ? "changed"
+                                                                       : "ended";
     const Replica *replica = mReplicas.find(id);
     if (change != LimitChange::Changed) {
         mPermits->forgetTold(replica->record.incarnation());
     }
-    mMetrics.count("replica_limits", what);
+    mMetrics.count("replica_limits", changeName);
     // A replica may name another one with each answer.
     const LogLevel level = change == LimitChange::Changed ? LogLevel::Debug : LogLevel::Info;
     logLine(level, "replica-limit",
             {{"replica", id},
              {"service", replica->record.service},
-             {"change", what},
+             {"change", changeName},
              {"perSecond", replica->limit.perSecond().value_or(-1)}});
 }
 
@@ -369,7 +370,7 @@
     const auto answer = co_await mPermits->ask(*replica);
     if (!answer) {
         mMetrics.count("send_permits", "unanswered");
-        mReplicas.setRateLimitedUntil(id, now() + sKeeperPause);
+        mReplicas.setRateLimitedUntil(id, now() + sPermitRetryDelay);
         co_return false;
     }
     if (answer->has_limit()) {
@@ -389,35 +390,35 @@
 
 Milliseconds ReplicaService::waitedBefore(const std::string &route, Milliseconds timeLeft)
 {
-    mPatience.note(route, timeLeft, mRefused.ratio(now()));
-    return mPatience.waitedBefore(route, timeLeft);
+    mCallerWaits.note(route, timeLeft, mRefusalRatio.ratio(now()));
+    return mCallerWaits.waitedBefore(route, timeLeft);
 }
 
-void ReplicaService::noteEnd(bool mayReturn)
+void ReplicaService::noteRequestEnd(bool wasRefused)
 {
-    mRefused.note(!mayReturn, now());
+    mRefusalRatio.note(!wasRefused, now());
 }
 
 SharedRetryBudget &ReplicaService::budget(const std::string &service)
 {
-    return mBudgets.try_emplace(service, mBounds, mBorn).first->second;
+    return mBudgets.try_emplace(service, mBounds, mStartedAt).first->second;
 }
 
-bool ReplicaService::takeRepeat(const std::string &service)
+bool ReplicaService::takeRetry(const std::string &service)
 {
-    const bool taken = budget(service).take(mMembers->gatewayCount(), now());
-    mMetrics.count(taken ? "repeats" : "repeats_denied", service);
-    return taken;
+    const bool isGranted = budget(service).take(mMembers->gatewayCount(), now());
+    mMetrics.count(isGranted ? "repeats" : "repeats_denied", service);
+    return isGranted;
 }
 
-std::unique_ptr<HttpLink> ReplicaService::takeIdle(Pool &pool)
+std::unique_ptr<HttpLink> ReplicaService::takeIdleLink(Pool &pool)
 {
     while (!pool.idle.empty()) {
         std::unique_ptr<HttpLink> link = std::move(pool.idle.back());
         pool.idle.pop_back();
-        const bool isFresh = BootClock::now() < link->usableUntil();
+        const bool isUsable = BootClock::now() < link->usableUntil();
         // Whatever came in unasked belongs to no request: such a link ends here.
-        if (isFresh && link->isQuiet()) {
+        if (isUsable && link->isQuiet()) {
             return link;
         }
         --pool.open;
@@ -429,12 +430,12 @@
 ReplicaService::link(std::string id, std::string address, std::uint32_t maxConnections)
 {
     Pool &pool = mPools[id];
-    if (auto kept = takeIdle(pool)) {
-        co_return std::move(kept);
+    if (auto idle = takeIdleLink(pool)) {
+        co_return std::move(idle);
     }
-    const double own
-        = maxConnections * sConnectionsUsed / std::max<std::uint32_t>(mMembers->gatewayCount(), 1);
-    if (maxConnections > 0 && pool.open >= std::max(own, 1.0)) {
+    const double ownShare
+        = maxConnections * sConnectionShare / std::max<std::uint32_t>(mMembers->gatewayCount(), 1);
+    if (maxConnections > 0 && pool.open >= std::max(ownShare, 1.0)) {
         co_return tl::unexpected(LinkError::NotConnected);
     }
     const auto endpoint = parseEndpoint(address);
@@ -443,22 +444,22 @@
     }
     ++pool.open;
     mMetrics.count("replica_connections");
-    auto made = co_await HttpLink::connect(*endpoint, sConnectTimeout);
-    if (!made) {
+    auto connected = co_await HttpLink::connect(*endpoint, sConnectTimeout);
+    if (!connected) {
         --mPools[id].open;
     }
-    co_return std::move(made);
+    co_return std::move(connected);
 }
 
-void ReplicaService::giveBack(const std::string &id, std::unique_ptr<HttpLink> link)
+void ReplicaService::releaseLink(const std::string &id, std::unique_ptr<HttpLink> link)
 {
     const auto it = mPools.find(id);
     if (it == mPools.end()) {
         return;
     }
     const Replica *replica = mReplicas.find(id);
-    const bool isWanted = replica != nullptr && !replica->notices.isLeaving();
-    if (link->isReusable() && isWanted) {
+    const bool isReplicaUsable = replica != nullptr && !replica->notices.isLeaving();
+    if (link->isReusable() && isReplicaUsable) {
         it->second.idle.push_back(std::move(link));
         return;
     }
@@ -477,37 +478,38 @@
     it->second.idle.clear();
 }
 
-void ReplicaService::closeExpired(Pool &pool, BootClock::time_point time)
+void ReplicaService::closeExpired(Pool &pool, BootClock::time_point bootTime)
 {
     pool.open -= static_cast<std::uint32_t>(
         std::erase_if(pool.idle, [&](const std::unique_ptr<HttpLink> &link) {
-            return link->usableUntil() <= time;
+            return link->usableUntil() <= bootTime;
         }));
 }
 
-void ReplicaService::countHeld()
+void ReplicaService::updateUnavailableMetrics()
 {
-    std::map<UnavailableReason, std::int64_t> held;
+    std::map<UnavailableReason, std::int64_t> counts;
     for (const auto &[id, replica] : mReplicas.all()) {
-        ++held[replica.unavailableReason(now())];
+        ++counts[replica.unavailableReason(now())];
     }
-    for (const UnavailableReason one : {UnavailableReason::Leaving, UnavailableReason::Resting}) {
-        mMetrics.set("replicas_held_back", unavailableReasonName(one), held[one]);
+    for (const UnavailableReason reason :
+         {UnavailableReason::Leaving, UnavailableReason::Resting}) {
+        mMetrics.set("replicas_held_back", unavailableReasonName(reason), counts[reason]);
     }
 }
 
 awaitable<void> ReplicaService::sweepLoop()
 {
     while (!mStopped) {
-        co_await sleepFor(sSweepEvery);
+        co_await sleepFor(sSweepInterval);
         mReplicas.sweep(now());
-        countHeld();
-        mAsker->closeUnused();
+        updateUnavailableMetrics();
+        mLoadProber->closeUnused();
         mPermits->closeUnused();
-        keepNeighboursWarm();
-        const auto time = BootClock::now();
+        probeIdleAgents();
+        const auto bootTime = BootClock::now();
         for (auto &[id, pool] : mPools) {
-            closeExpired(pool, time);
+            closeExpired(pool, bootTime);
         }
         std::erase_if(mPools, [&](const auto &item) {
             return item.second.open == 0 && mReplicas.find(item.first) == nullptr;
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -12,7 +12,7 @@
 #include "directsettings.h"
 #include "httplink.h"
 #include "kernel.h"
-#include "loadasker.h"
+#include "loadprober.h"
 #include "permitasker.h"
 #include "ports.h"
 #include "refusalratio.h"
@@ -63,11 +63,11 @@
     void noteRequest(const std::string &service, Milliseconds goal);
     /** How long ago a caller of @p route with so much time left tried first. */
     Milliseconds waitedBefore(const std::string &route, Milliseconds timeLeft);
-    /** A request has ended; @p mayReturn: its caller was told when to come back. */
-    void noteEnd(bool mayReturn);
+    /** A request has ended; @p wasRefused: its caller was told when to come back. */
+    void noteRequestEnd(bool wasRefused);
 
     void began(const std::string &id, bool isPatient);
-    void answerBegan(const std::string &id, bool isPatient, Microseconds took);
+    void answerBegan(const std::string &id, bool isPatient, Microseconds elapsed);
     void answerMissed(const std::string &id, bool isPatient);
     /** Whether a request may be sent to the replica now, which may have named a limit. */
     awaitable<bool> takePermit(std::string id);
@@ -78,13 +78,13 @@
     /** What an answer of @p life says of further requests. */
     void noteNotice(const ReplicaLife &incarnation, const ReplicaNotice &notice);
     /** Takes one repeat of a request at @p service. */
-    bool takeRepeat(const std::string &service);
+    bool takeRetry(const std::string &service);
 
     /** A link to the replica @p id at @p address, kept or new. */
     awaitable<tl::expected<std::unique_ptr<HttpLink>, LinkError>>
     link(std::string id, std::string address, std::uint32_t maxConnections);
     /** Gives a link back; kept where it can be used again. */
-    void giveBack(const std::string &id, std::unique_ptr<HttpLink> link);
+    void releaseLink(const std::string &id, std::unique_ptr<HttpLink> link);
 
 private:
     struct Pool
@@ -93,38 +93,39 @@
         std::uint32_t open = 0; ///< idle and in use
     };
 
-    void takeReport(const std::string &address, const ReplicaLoad &load);
-    void applyLimit(const ReportedLimit &told);
+    void applyReport(const std::string &address, const ReplicaLoad &load);
+    void applyLimit(const ReportedLimit &limit);
     void noteLimit(const std::string &id, LimitChange change);
     static void logLeaving(const ReplicaLife &incarnation, const Replica *replica);
-    static void logRest(const ReplicaLife &incarnation, const Replica *replica, Microseconds asked);
+    static void logRest(const ReplicaLife &incarnation, const Replica *replica,
+                        Microseconds restTime);
     SharedRetryBudget &budget(const std::string &service);
-    void take(const FeedChange &change);
-    awaitable<void> askAgents(std::vector<const Replica *> replicas);
+    void applyChange(const FeedChange &change);
+    awaitable<void> probeAgents(std::vector<const Replica *> replicas);
     std::vector<std::string> answeredSince(Instant since, std::span<const std::string> ids) const;
-    std::vector<std::string> silentReplicas() const;
-    void keepNeighboursWarm();
-    void keepWarm(const LoadQuestion &question);
-    bool saysTheSame(const FeedRecord &known, const FeedRecord &next) const;
-    void countHeld();
+    std::vector<std::string> unresponsiveReplicas() const;
+    void probeIdleAgents();
+    void probeIfStale(const LoadProbe &probe);
+    bool hasSameContent(const FeedRecord &known, const FeedRecord &next) const;
+    void updateUnavailableMetrics();
     awaitable<void> sweepLoop();
-    std::unique_ptr<HttpLink> takeIdle(Pool &pool);
+    std::unique_ptr<HttpLink> takeIdleLink(Pool &pool);
     void closeIdle(const std::string &id);
-    static void closeExpired(Pool &pool, BootClock::time_point time);
+    static void closeExpired(Pool &pool, BootClock::time_point bootTime);
 
     RecordPort &mRecords;
     Metrics &mMetrics;
     const DirectSettings &mSettings;
     FeedService *mFeeds = nullptr;
     RetryBounds mBounds;
-    Instant mBorn;
+    Instant mStartedAt;
     MemberService *mMembers = nullptr;
     ReplicaSet mReplicas;
     std::map<std::string, Pool> mPools; ///< by replica id
     std::map<std::string, SharedRetryBudget> mBudgets;
-    CallerWaitEstimator mPatience;
-    RefusalRatio mRefused; ///< of all requests
-    std::unique_ptr<LoadAsker> mAsker;
+    CallerWaitEstimator mCallerWaits;
+    RefusalRatio mRefusalRatio; ///< of all requests
+    std::unique_ptr<LoadProber> mLoadProber;
     std::unique_ptr<PermitAsker> mPermits;
     DirectConfig *mConfig = nullptr;
     bool mStopped = false;
--- a/src/libloomjunction/gateway/weightstagingservice.cpp
+++ b/src/libloomjunction/gateway/weightstagingservice.cpp
@@ -98,7 +98,7 @@
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mHub = &kernel.find<PeerHub>(PeerHub::sName);
     mReporter = &kernel.find<LoadReporter>(LoadReporter::sName);
-    mReporter->setLook([this]() -> awaitable<void> { co_await pollEngine(); });
+    mReporter->setEnginePoll([this]() -> awaitable<void> { co_await pollEngine(); });
     mWakeSignal = std::make_unique<Signal>(kernel.executor());
     mStore = std::make_unique<ChunkStore>(kernel.executor(), sStoreBytes);
     mServer = std::make_unique<ChunkServer>(*mStore, mEgress, sMaxUploads);
--- a/tests/gateway/scriptedagent.h
+++ b/tests/gateway/scriptedagent.h
@@ -23,29 +23,29 @@
 {
 public:
     /** Records itself as a member that stands beside @p replica. */
-    ScriptedAgent(GatewayFixture &lab, const ScriptedReplica &replica)
-        : mReplica(replica.address())
-        , mServer(lab.context.get_executor(),
+    ScriptedAgent(GatewayFixture &fixture, const ScriptedReplica &replica)
+        : mReplicaAddress(replica.address())
+        , mServer(fixture.context.get_executor(),
                   [this](PeerStreamPtr stream) { return serve(std::move(stream)); })
     {
         BOOST_REQUIRE(
             mServer.listen(Tcp::endpoint(asio::ip::address_v4::loopback(), 0)).has_value());
         const std::string peers = endpointText(mServer.localEndpoint());
-        lab.store.write(
+        fixture.store.write(
             Feed::Members, peers,
             R"({"box":"b","dataCentre":"z1","role":"stager","service":"engine","peers":")" + peers
-                + R"(","engine":")" + mReplica + R"(","incarnation":1})");
+                + R"(","engine":")" + mReplicaAddress + R"(","incarnation":1})");
     }
 
-    wire::ReplicaLoadReport load = idle();
+    wire::ReplicaLoadReport load = idleLoad();
     bool isSilent = false;
     std::chrono::milliseconds delay{0}; ///< before each answer
-    std::function<void()> onQuestion; ///< before the answer
-    int questions = 0;
-    int streams = 0;
+    std::function<void()> onQuery; ///< before the answer
+    int queryCount = 0;
+    int streamCount = 0;
 
 private:
-    static wire::ReplicaLoadReport idle()
+    static wire::ReplicaLoadReport idleLoad()
     {
         wire::ReplicaLoadReport report;
         report.set_pace_permille(1'000);
@@ -56,28 +56,28 @@
 
     awaitable<void> serve(PeerStreamPtr stream)
     {
-        ++streams;
+        ++streamCount;
         while (stream->isOpen()) {
             const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(60);
             const auto query = co_await stream->receiveMessage<wire::LoadQuery>(deadline);
             if (!query || !*query) {
                 co_return;
             }
-            ++questions;
+            ++queryCount;
             if (delay.count() > 0) {
                 co_await sleepFor(delay);
             }
-            if (onQuestion) {
-                onQuestion();
+            if (onQuery) {
+                onQuery();
             }
             if (!isSilent) {
-                load.set_address(mReplica);
+                load.set_address(mReplicaAddress);
                 stream->send(load);
             }
         }
     }
 
-    std::string mReplica;
+    std::string mReplicaAddress;
     PeerServer mServer;
 };
 
--- a/tests/gateway/test_leaving.cpp
+++ b/tests/gateway/test_leaving.cpp
@@ -106,7 +106,7 @@
     ScriptedReplica &replica = lab.addReplica("i-1", "engine", beginsStream);
     ScriptedAgent agent(lab, replica);
     bool hasLeft = false;
-    agent.onQuestion = [&] {
+    agent.onQuery = [&] {
         if (lab.front().inFlight() == 1) {
             agent.isSilent = true;
             lab.caller->close();
@@ -115,7 +115,7 @@
     };
     lab.run([&]() -> awaitable<void> {
         co_await lab.untilReady();
-        co_await lab.waitFor([&] { return agent.questions > 0; });
+        co_await lab.waitFor([&] { return agent.queryCount > 0; });
         co_await lab.sendAsCaller(requestText("/model/a", "id1"));
         co_await lab.waitFor([&] { return hasLeft; });
         co_await lab.untilLetGo();
--- a/tests/gateway/test_asking.cpp
+++ b/tests/gateway/test_loadprober.cpp
@@ -1,5 +1,5 @@
 /*
- * test_asking.cpp
+ * test_loadprober.cpp
  * Copyright 2026, the loomjunction authors
  *
  * This file is part of loomjunction (tests).
@@ -16,7 +16,7 @@
 namespace {
 
 /** A stream of one event. */
-ScriptedReplica::Answer streams(const std::string &head)
+ScriptedReplica::Answer streamAnswer(const std::string &head)
 {
     return {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             "Loomjunction-Response-Signature: s\r\nLoomjunction-Request-Id: "
@@ -26,129 +26,130 @@
 }
 
 /** A gateway with two replicas of an engine and the agents beside them. */
-class AskingLab
+class ProbingFixture
 {
 public:
-    AskingLab() { lab.writeConfig(1); }
+    ProbingFixture() { fixture.writeConfig(1); }
 
-    awaitable<void> untilAsked()
+    awaitable<void> waitUntilProbed()
     {
-        co_await lab.waitFor([this] {
-            return lab.front().isReady() && lab.replicas().replicas().all().size() == 2
-                && firstAgent.questions > 0 && secondAgent.questions > 0;
+        co_await fixture.waitFor([this] {
+            return fixture.front().isReady() && fixture.replicas().replicas().all().size() == 2
+                && firstAgent.queryCount > 0 && secondAgent.queryCount > 0;
         });
     }
 
-    awaitable<void> callOften(int times)
+    awaitable<void> sendRequests(int count)
     {
-        for (int call = 0; call < times; ++call) {
-            const std::string id = "id" + std::to_string(mCalls++);
-            const auto response = co_await lab.call("POST", "/model/a", id);
+        for (int call = 0; call < count; ++call) {
+            const std::string id = "id" + std::to_string(mRequestCount++);
+            const auto response = co_await fixture.call("POST", "/model/a", id);
             BOOST_TEST(response->status == 200);
         }
     }
 
-    GatewayFixture lab;
-    ScriptedReplica &first = lab.addReplica("i-1", "engine", streams);
-    ScriptedReplica &second = lab.addReplica("i-2", "engine", streams);
-    ScriptedAgent firstAgent{lab, first};
-    ScriptedAgent secondAgent{lab, second};
+    GatewayFixture fixture;
+    ScriptedReplica &first = fixture.addReplica("i-1", "engine", streamAnswer);
+    ScriptedReplica &second = fixture.addReplica("i-2", "engine", streamAnswer);
+    ScriptedAgent firstAgent{fixture, first};
+    ScriptedAgent secondAgent{fixture, second};
 
 private:
-    int mCalls = 0;
+    int mRequestCount = 0;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_request_goes_to_the_replica_whose_agent_says_it_is_free)
+BOOST_AUTO_TEST_CASE(request_goes_to_replica_with_lowest_reported_load)
 {
-    AskingLab test;
+    ProbingFixture test;
     test.firstAgent.load.set_running(4);
     test.firstAgent.load.set_waiting(8);
-    test.lab.run([&]() -> awaitable<void> {
-        co_await test.untilAsked();
-        co_await test.callOften(5);
+    test.fixture.run([&]() -> awaitable<void> {
+        co_await test.waitUntilProbed();
+        co_await test.sendRequests(5);
         BOOST_TEST(test.second.requests() == 5);
         // What was true of the last choice counts for nothing in the next one.
         std::swap(test.firstAgent.load, test.secondAgent.load);
-        co_await test.callOften(5);
+        co_await test.sendRequests(5);
         BOOST_TEST(test.first.requests() == 5);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_with_a_silent_agent_gets_nothing_while_another_answers)
+BOOST_AUTO_TEST_CASE(replica_with_silent_agent_gets_no_requests_while_another_answers)
 {
-    AskingLab test;
-    test.lab.run([&]() -> awaitable<void> {
-        co_await test.untilAsked();
+    ProbingFixture test;
+    test.fixture.run([&]() -> awaitable<void> {
+        co_await test.waitUntilProbed();
         test.firstAgent.isSilent = true;
-        co_await test.callOften(10);
+        co_await test.sendRequests(10);
         BOOST_TEST(test.first.requests() == 0);
         BOOST_TEST(test.second.requests() == 10);
         // It answers again, and takes part again.
         test.firstAgent.isSilent = false;
         test.secondAgent.load.set_running(4);
         test.secondAgent.load.set_waiting(8);
-        co_await test.lab.waitFor([&] { return test.firstAgent.streams > 1; });
-        co_await test.callOften(5);
+        co_await test.fixture.waitFor([&] { return test.firstAgent.streamCount > 1; });
+        co_await test.sendRequests(5);
         BOOST_TEST(test.first.requests() == 5);
     });
 }
 
-BOOST_AUTO_TEST_CASE(without_any_agent_requests_are_sent_all_the_same)
+BOOST_AUTO_TEST_CASE(requests_are_sent_when_no_agent_answers)
 {
-    AskingLab test;
-    test.lab.run([&]() -> awaitable<void> {
-        co_await test.untilAsked();
+    ProbingFixture test;
+    test.fixture.run([&]() -> awaitable<void> {
+        co_await test.waitUntilProbed();
         test.firstAgent.isSilent = true;
         test.secondAgent.isSilent = true;
-        co_await test.callOften(3);
+        co_await test.sendRequests(3);
         BOOST_TEST(test.first.requests() + test.second.requests() == 3);
     });
 }
 
-BOOST_AUTO_TEST_CASE(an_agents_answer_is_kept_with_the_time_it_took)
+BOOST_AUTO_TEST_CASE(load_report_includes_probe_round_trip)
 {
-    AskingLab test;
+    ProbingFixture test;
     test.firstAgent.delay = std::chrono::milliseconds(30);
     const auto roundTrip = [&](std::string_view id) {
-        const Replica *replica = test.lab.replicas().replicas().find(id);
+        const Replica *replica = test.fixture.replicas().replicas().find(id);
         const bool isKnown = replica != nullptr && replica->load;
         return isKnown ? replica->load->roundTrip : Microseconds(0);
     };
-    test.lab.run([&]() -> awaitable<void> {
-        co_await test.untilAsked();
-        co_await test.lab.waitFor([&] { return roundTrip("i-1") > Microseconds(0); });
+    test.fixture.run([&]() -> awaitable<void> {
+        co_await test.waitUntilProbed();
+        co_await test.fixture.waitFor([&] { return roundTrip("i-1") > Microseconds(0); });
         BOOST_TEST((roundTrip("i-1") >= test.firstAgent.delay));
-        co_await test.lab.waitFor([&] { return roundTrip("i-2") > Microseconds(0); });
+        co_await test.fixture.waitFor([&] { return roundTrip("i-2") > Microseconds(0); });
     });
 }
 
-BOOST_AUTO_TEST_CASE(no_question_is_asked_for_services_without_agents)
+BOOST_AUTO_TEST_CASE(services_without_engine_are_not_probed)
 {
-    AskingLab test;
-    test.lab.addReplica("i-3", "plain", [](const std::string &head) -> ScriptedReplica::Answer {
+    ProbingFixture test;
+    test.fixture.addReplica("i-3", "plain", [](const std::string &head) -> ScriptedReplica::Answer {
         return {"HTTP/1.1 200 OK\r\nLoomjunction-Response-Signature: s\r\nLoomjunction-Request-Id: "
                     + requestIdOf(head) + "\r\nContent-Length: 2\r\n\r\nok",
                 false};
     });
-    test.lab.run([&]() -> awaitable<void> {
-        co_await test.lab.waitFor([&] { return test.lab.replicas().replicas().all().size() == 3; });
-        const int before = test.firstAgent.questions;
+    test.fixture.run([&]() -> awaitable<void> {
+        co_await test.fixture.waitFor(
+            [&] { return test.fixture.replicas().replicas().all().size() == 3; });
+        const int queriesBefore = test.firstAgent.queryCount;
         for (int call = 0; call < 5; ++call) {
             const auto response
-                = co_await test.lab.call("POST", "/once/a", "plain" + std::to_string(call));
+                = co_await test.fixture.call("POST", "/once/a", "plain" + std::to_string(call));
             BOOST_TEST(response->status == 200);
         }
         // Links to agents are kept warm meanwhile, once or twice a second.
-        BOOST_TEST(test.firstAgent.questions - before <= 3);
+        BOOST_TEST(test.firstAgent.queryCount - queriesBefore <= 3);
     });
 }
 
-BOOST_AUTO_TEST_CASE(an_agent_looks_at_its_engine_when_asked_and_once_for_questions_together)
+BOOST_AUTO_TEST_CASE(concurrent_queries_share_one_engine_poll)
 {
-    GatewayFixture lab; // its gateway's hub serves the reporter's path in this test
-    asio::io_context &context = lab.context;
+    GatewayFixture fixture; // its gateway's hub serves the reporter's path in this test
+    asio::io_context &context = fixture.context;
     Kernel kernel(context.get_executor());
     const Tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
     Tcp::acceptor reserved(context, anyPort);
@@ -159,19 +160,19 @@
     settings.peers = address;
     settings.role = StagerSettings{"engine", anyPort, 0};
     kernel.add(std::make_unique<PeerHub>(address));
-    kernel.add(std::make_unique<FeedService>(lab.store, "box", FeedPreference::Peers));
-    kernel.add(std::make_unique<MemberService>(lab.store, settings, 1));
+    kernel.add(std::make_unique<FeedService>(fixture.store, "box", FeedPreference::Peers));
+    kernel.add(std::make_unique<MemberService>(fixture.store, settings, 1));
     kernel.add(std::make_unique<LoadReporter>("10.0.0.1:1"));
     auto &reporter = kernel.find<LoadReporter>(LoadReporter::sName);
-    int looks = 0;
-    reporter.setLook([&]() -> awaitable<void> {
-        ++looks;
+    int polls = 0;
+    reporter.setEnginePoll([&]() -> awaitable<void> {
+        ++polls;
         co_await sleepFor(std::chrono::milliseconds(2));
         ReplicaLoad load;
-        load.running = static_cast<std::uint32_t>(looks);
+        load.running = static_cast<std::uint32_t>(polls);
         reporter.set(load);
     });
-    lab.run([&]() -> awaitable<void> {
+    fixture.run([&]() -> awaitable<void> {
         BOOST_REQUIRE(kernel.start().has_value());
         auto &hub = kernel.find<PeerHub>(PeerHub::sName);
         std::vector<PeerStreamPtr> gateways;
@@ -188,13 +189,13 @@
             BOOST_REQUIRE((report && *report));
             BOOST_TEST((*report)->running() >= 1U);
         }
-        BOOST_TEST(looks <= 2);
+        BOOST_TEST(polls <= 2);
         co_await sleepFor(std::chrono::milliseconds(20));
         gateways.front()->send(wire::LoadQuery());
         const auto later
             = co_await gateways.front()->receiveMessage<wire::ReplicaLoadReport>(deadline);
-        BOOST_TEST((*later)->running() == static_cast<std::uint32_t>(looks));
-        BOOST_TEST(looks >= 2);
+        BOOST_TEST((*later)->running() == static_cast<std::uint32_t>(polls));
+        BOOST_TEST(polls >= 2);
         kernel.stop();
     });
 }
--- a/tests/limits/limitfleet.cpp
+++ b/tests/limits/limitfleet.cpp
@@ -105,7 +105,7 @@
     mKernel.add(std::make_unique<LoadReporter>(replica.address()));
     auto &reporter = mKernel.find<LoadReporter>(LoadReporter::sName);
     reporter.setPermits(mKernel.find<PermitService>(PermitService::sName));
-    reporter.setLook([&reporter]() -> awaitable<void> {
+    reporter.setEnginePoll([&reporter]() -> awaitable<void> {
         ReplicaLoad load;
         load.weightsVersion = 1;
         reporter.set(load);
