--- a/src/libloomjunction/gateway/addressserver.cpp
+++ b/src/libloomjunction/gateway/addressserver.cpp
@@ -52,9 +52,9 @@
 awaitable<void> AddressServer::handle(HttpExchange &exchange)
 {
     HttpResponse response = errorResponse(404, "no such path");
-    if (mCalls.isReadyCheck(exchange.request())) {
+    if (mCalls.isReadinessCheck(exchange.request())) {
         response = HttpResponse::json(mGateway->isReady() ? 200 : 503, "{}");
-    } else if (const auto question = mCalls.addressQuestion(exchange.request())) {
+    } else if (const auto question = mCalls.addressQuery(exchange.request())) {
         response = resolveAddresses(*question);
     }
     co_await exchange.respond(std::move(response));
@@ -71,7 +71,7 @@
     return place;
 }
 
-HttpResponse AddressServer::resolveAddresses(const AddressQuestion &question) const
+HttpResponse AddressServer::resolveAddresses(const AddressQuery &question) const
 {
     std::vector<GatewayAddress> places = mMembers->addressPlaces();
     places.push_back(ownAddress());
@@ -81,8 +81,8 @@
     if (addresses.empty()) {
         return errorResponse(503, "no gateway is ready");
     }
-    return mCalls.addressAnswer(addresses,
-                                std::min(sAddressLifetime, mSettings.bounds.addressLifetime));
+    return mCalls.addressResponse(addresses,
+                                  std::min(sAddressLifetime, mSettings.bounds.addressLifetime));
 }
 
 } // namespace Loom
--- a/src/libloomjunction/gateway/addressserver.h
+++ b/src/libloomjunction/gateway/addressserver.h
@@ -38,7 +38,7 @@
 private:
     awaitable<void> handle(HttpExchange &exchange);
     GatewayAddress ownAddress() const;
-    HttpResponse resolveAddresses(const AddressQuestion &question) const;
+    HttpResponse resolveAddresses(const AddressQuery &question) const;
 
     CallPort &mCalls;
     const DirectSettings &mSettings;
--- a/src/libloomjunction/gateway/directconfig.cpp
+++ b/src/libloomjunction/gateway/directconfig.cpp
@@ -57,7 +57,7 @@
 {
     mBounds = bounds;
     mWeights.setGracePeriod(bounds.weightsTime);
-    mFeeds->setOperatorsWait(bounds.configTime / sReadsInBound);
+    mFeeds->setOperatorsPollTimeout(bounds.configTime / sReadsInBound);
 }
 
 bool DirectConfig::mayBeStale() const
@@ -98,8 +98,8 @@
              {"before", before},
              {"offset", change.record.offset},
              {"ageMs", std::chrono::duration_cast<Milliseconds>(change.age).count()},
-             {"from", change.way.from},
-             {"hops", change.way.hops},
+             {"from", change.origin.from},
+             {"hops", change.origin.hops},
              {"routes", config.routes.size()},
              {"accounts", config.accounts.size()}});
     if (!isNewer) {
@@ -117,8 +117,8 @@
     if (mMetrics == nullptr || change.age >= sNoAge) {
         return;
     }
-    const std::string_view way = change.way.hops == 0 ? "from the store" : "relayed";
-    mMetrics->observe("config_age_ms", way, static_cast<double>(change.age.count()) / 1'000);
+    const std::string_view origin = change.origin.hops == 0 ? "from the store" : "relayed";
+    mMetrics->observe("config_age_ms", origin, static_cast<double>(change.age.count()) / 1'000);
 }
 
 void DirectConfig::nameWeights(const NamedWeights &named, const FeedChange &change)
--- a/src/libloomjunction/gateway/feedservice.cpp
+++ b/src/libloomjunction/gateway/feedservice.cpp
@@ -32,65 +32,65 @@
 constexpr std::string_view sFollowPath = "/follow";
 // A call to the store has a price, and one that is under way tells of a lost
 // store only when it should have come back: each wait is that trade.
-constexpr Milliseconds sOperatorsMostWait{2'000};
-constexpr Milliseconds sOperatorsLeastWait{200};
-constexpr Milliseconds sReplicasWait{2'000};
-constexpr Milliseconds sMembersWait{8'000};
+constexpr Milliseconds sMaxOperatorsPollTimeout{2'000};
+constexpr Milliseconds sMinOperatorsPollTimeout{200};
+constexpr Milliseconds sReplicasPollTimeout{2'000};
+constexpr Milliseconds sMembersPollTimeout{8'000};
 // Records that come close together are read in one call.
-constexpr Milliseconds sOperatorsPause{20};
-constexpr Milliseconds sMembersPause{150};
-constexpr Milliseconds sRetryLeast{100};
-constexpr Milliseconds sRetryMost{400};
+constexpr Milliseconds sOperatorsReadDelay{20};
+constexpr Milliseconds sMembersReadDelay{150};
+constexpr Milliseconds sMinRetryDelay{100};
+constexpr Milliseconds sMaxRetryDelay{400};
 // A follower asks this often how old the other's knowledge is, and a silence is
 // longer. Whoever follows a reader learns nothing while that stands still, and
 // draining replicas must not be used for two seconds: half of that is for noticing.
-constexpr Milliseconds sRelayAsk{300};
-constexpr Milliseconds sRelaySilence{900};
+constexpr Milliseconds sRelayQueryInterval{300};
+constexpr Milliseconds sRelayTimeout{900};
 // A process that asks nothing for so long is lost, and nothing is kept for it.
-constexpr std::chrono::milliseconds sFollowerSilence{3'000};
+constexpr std::chrono::milliseconds sFollowerTimeout{3'000};
 // A reader with followers asks the store this often whether all is well, and a
 // follower leaves one whose last answer is older. The age told by one that follows the
 // reader is the wait, a question's turn and two ways at most.
-constexpr Milliseconds sRelayedWait{500};
-constexpr Milliseconds sRelayedAge{1'000};
+constexpr Milliseconds sRelayedPollTimeout{500};
+constexpr Milliseconds sMaxRelayedAge{1'000};
 // A read that came back early tells only what was there when it was asked, so the next
 // one is shorter, by as much as the knowledge is old; each call to the store has a price.
-constexpr Milliseconds sLeastWait{50};
+constexpr Milliseconds sMinPollTimeout{50};
 // Members tell each other of their state; their records need not be as fresh.
-constexpr Milliseconds sRelayedMembersWait{2'500};
-constexpr Milliseconds sRelayedMembersAge{4'000};
+constexpr Milliseconds sRelayedMembersPollTimeout{2'500};
+constexpr Milliseconds sMaxRelayedMembersAge{4'000};
 // While a peer is followed, the store is tried again after this time.
-constexpr Milliseconds sRelayTurn{1'000};
+constexpr Milliseconds sFallbackFollowDuration{1'000};
 // Following a peer by choice, the store is not tried at all for this long.
-constexpr Milliseconds sRelayLongTurn{30'000};
-constexpr Milliseconds sRelayBatch{10};
+constexpr Milliseconds sPreferredFollowDuration{30'000};
+constexpr Milliseconds sRelayBatchDelay{10};
 // Shorter values gain little, and would be compressed for each change of theirs.
-constexpr std::size_t sLeastCompressed = std::size_t{4} * 1024;
+constexpr std::size_t sMinCompressedSize = std::size_t{4} * 1024;
 // Many times what the platform's store takes for one record.
-constexpr std::size_t sMostValue = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t sMaxValueSize = std::size_t{16} * 1024 * 1024;
 // A follower that takes nothing for so long is lost; a large configuration needs
 // some hundred milliseconds on the narrowest links.
-constexpr std::chrono::milliseconds sTakeTime{3'000};
+constexpr std::chrono::milliseconds sFollowerSendTimeout{3'000};
 // The store's word that a record is gone counts only when it was well for so long.
-constexpr Milliseconds sStoreTrust{3'000};
+constexpr Milliseconds sStoreFailureWindow{3'000};
 // Whose reads failed more lately does not read for others, if anybody else can.
-constexpr Milliseconds sReaderTrust{5'000};
+constexpr Milliseconds sReaderFailureWindow{5'000};
 // A process that begins waits so long for others that read before it, and for each of
 // them. Longer than they need for a full read (0.4 MB, 0.2 s over 27 Mbit/s, reckoned),
 // and so short that a begin without them still ends in good time.
-constexpr Milliseconds sBeginTime{2'000};
-constexpr Milliseconds sBeginTurn{1'000};
+constexpr Milliseconds sStartupTimeout{2'000};
+constexpr Milliseconds sStartupReaderTimeout{1'000};
 constexpr std::chrono::milliseconds sRequestTimeout{2'000};
 // A record may have been written at any time since the feed was last known to be
 // complete. So much of that counts as the read's quiet wait; bounds on weights leave room
 // for as much.
-constexpr Milliseconds sUsualHearing{400};
+constexpr Milliseconds sMaxPollTimeDiscount{400};
 // Of records that were there at the first read: long ago, as far as is known.
 constexpr Microseconds sUnknownAge = std::chrono::hours(24);
 
 // Orders the records of one key. A removal may share its offset with the record that it
 // takes away.
-std::uint64_t rankOf(const FeedRecord &record)
+std::uint64_t recordRank(const FeedRecord &record)
 {
     return record.offset * 2 + (record.value ? 1 : 2);
 }
@@ -102,10 +102,10 @@
     return knownBefore == 0 ? 0 : knownBefore * 2 - 1;
 }
 
-Milliseconds jitter(Milliseconds least, Milliseconds most)
+Milliseconds jitter(Milliseconds minDelay, Milliseconds maxDelay)
 {
     static std::mt19937 random{std::random_device{}()};
-    std::uniform_int_distribution<std::int64_t> spread(least.count(), most.count());
+    std::uniform_int_distribution<std::int64_t> spread(minDelay.count(), maxDelay.count());
     return Milliseconds(spread(random));
 }
 
@@ -129,7 +129,7 @@
     mChanged = std::make_unique<Signal>(kernel.executor());
     mHub->serve(std::string(sFollowPath),
                 [this](PeerStreamPtr stream) { return serveFollower(std::move(stream)); });
-    mBeginUntil = now() + sBeginTime;
+    mStartupDeadline = now() + sStartupTimeout;
     for (const Feed feed : {Feed::Operators, Feed::Replicas, Feed::Members}) {
         const bool isNeeded = mPreference == FeedPreference::Store || feed != Feed::Replicas;
         if (isNeeded) {
@@ -146,58 +146,60 @@
     wakeAllFollowers();
 }
 
-// Once it knows everything: until then a gateway waits for no more than sBeginTime.
+// Once it knows everything: until then a gateway waits for no more than sStartupTimeout.
 bool FeedService::isFollower(Feed feed) const
 {
     return mReaders && state(feed).isSynced && !mReaders().isReader;
 }
 
 // The store failed of late, or the process that is followed says that its did.
-bool FeedService::isDoubtful(Feed feed) const
+bool FeedService::isStoreDoubtful(Feed feed) const
 {
     const FeedState &state = this->state(feed);
-    const bool hasFailed = state.hasStoreFailed && now() - state.storeFailedAt <= sStoreTrust;
+    const bool hasFailed
+        = state.hasStoreFailed && now() - state.storeFailedAt <= sStoreFailureWindow;
     return hasFailed || state.isRelayDoubtful;
 }
 
 bool FeedService::hasStoreFailed() const
 {
     return std::ranges::any_of(mFeeds, [](const FeedState &state) {
-        return state.hasStoreFailed && now() - state.storeFailedAt <= sReaderTrust;
+        return state.hasStoreFailed && now() - state.storeFailedAt <= sReaderFailureWindow;
     });
 }
 
-void FeedService::setOperatorsWait(Milliseconds wait)
+void FeedService::setOperatorsPollTimeout(Milliseconds wait)
 {
-    mOperatorsWait = std::clamp(wait, sOperatorsLeastWait, sOperatorsMostWait);
+    mOperatorsPollTimeout = std::clamp(wait, sMinOperatorsPollTimeout, sMaxOperatorsPollTimeout);
 }
 
-Milliseconds FeedService::waitOf(Feed feed) const
+Milliseconds FeedService::pollTimeout(Feed feed) const
 {
     if (mReaders && mReaders().isRelayed) {
-        const Milliseconds wait = feed == Feed::Members ? sRelayedMembersWait : sRelayedWait;
-        return feed == Feed::Operators ? std::min(wait, mOperatorsWait) : wait;
+        const Milliseconds wait
+            = feed == Feed::Members ? sRelayedMembersPollTimeout : sRelayedPollTimeout;
+        return feed == Feed::Operators ? std::min(wait, mOperatorsPollTimeout) : wait;
     }
     switch (feed) {
     case Feed::Operators:
-        return mOperatorsWait;
+        return mOperatorsPollTimeout;
     case Feed::Replicas:
-        return sReplicasWait;
+        return sReplicasPollTimeout;
     case Feed::Members:
-        return sMembersWait;
+        return sMembersPollTimeout;
     }
-    return sMembersWait;
+    return sMembersPollTimeout;
 }
 
-// The knowledge of a feed in use is at most about waitOf() old, whatever was found.
-Milliseconds FeedService::nextWait(Feed feed) const
+// The knowledge of a feed in use is at most about pollTimeout() old, whatever was found.
+Milliseconds FeedService::nextPollTimeout(Feed feed) const
 {
-    const Milliseconds longest = waitOf(feed);
-    if (!state(feed).wasEarly) {
-        return longest;
+    const Milliseconds maxDuration = pollTimeout(feed);
+    if (!state(feed).hasReturnedEarly) {
+        return maxDuration;
     }
-    const auto known = std::chrono::duration_cast<Milliseconds>(age(feed).value_or(longest));
-    return std::clamp(longest - known, std::min(sLeastWait, longest), longest);
+    const auto known = std::chrono::duration_cast<Milliseconds>(age(feed).value_or(maxDuration));
+    return std::clamp(maxDuration - known, std::min(sMinPollTimeout, maxDuration), maxDuration);
 }
 
 // Of records that a read gave just now: the store may have taken them at any time since
@@ -205,21 +207,21 @@
 Microseconds FeedService::ageOfRead(Feed feed, Milliseconds wait) const
 {
     return std::max(Microseconds(0),
-                    age(feed).value_or(sUnknownAge) - std::min(wait, sUsualHearing));
+                    age(feed).value_or(sUnknownAge) - std::min(wait, sMaxPollTimeDiscount));
 }
 
 // Between two reads that found something.
-Milliseconds FeedService::pauseOf(Feed feed) const
+Milliseconds FeedService::readDelay(Feed feed) const
 {
     switch (feed) {
     case Feed::Operators:
-        return sOperatorsPause;
+        return sOperatorsReadDelay;
     case Feed::Replicas:
-        return mReplicasPause;
+        return mReplicasReadDelay;
     case Feed::Members:
-        return sMembersPause;
+        return sMembersReadDelay;
     }
-    return sOperatorsPause;
+    return sOperatorsReadDelay;
 }
 
 std::optional<Microseconds> FeedService::age(Feed feed) const
@@ -231,7 +233,7 @@
     return now() - *completeAt;
 }
 
-void FeedService::noteComplete(Feed feed, Instant at)
+void FeedService::updateCompleteAt(Feed feed, Instant at)
 {
     std::optional<Instant> &completeAt = state(feed).completeAt;
     completeAt = std::max(completeAt.value_or(at), at);
@@ -239,19 +241,19 @@
 
 // An agent none of whose seeds answers learns the members from the store at last, and
 // who is near from them: all agents reading the large feeds then would fill the links.
-Instant FeedService::beginUntil(Feed feed) const
+Instant FeedService::startupDeadline(Feed feed) const
 {
     const bool needsMembers = mPreference == FeedPreference::Peers && feed != Feed::Members;
-    return needsMembers ? mBeginUntil + sBeginTurn : mBeginUntil;
+    return needsMembers ? mStartupDeadline + sStartupReaderTimeout : mStartupDeadline;
 }
 
-bool FeedService::isBeginning(Feed feed) const
+bool FeedService::isStartingUp(Feed feed) const
 {
-    return !mStopped && !state(feed).isSynced && now() < beginUntil(feed);
+    return !mStopped && !state(feed).isSynced && now() < startupDeadline(feed);
 }
 
 // For the store or for another process: neither has failed it yet.
-bool FeedService::isWaiting(Feed feed) const
+bool FeedService::isAwaitingData(Feed feed) const
 {
     const FeedState &state = this->state(feed);
     return !state.isSynced && !state.hasStoreFailed;
@@ -260,66 +262,66 @@
 // Where many begin together, each would ask the store for the large feeds in full, and
 // their answers fill the links that callers use. The members' feed is small and tells
 // who reads first.
-awaitable<void> FeedService::begin(Feed feed)
+awaitable<void> FeedService::startUp(Feed feed)
 {
     const bool knowsOthers = mReaders || mPeers;
     if (!knowsOthers) {
         co_return;
     }
     if (mPreference == FeedPreference::Peers) {
-        co_await beginWithPeers(feed);
+        co_await startUpFromPeers(feed);
         co_return;
     }
     if (feed == Feed::Members) {
         co_return;
     }
     co_await waitForMembers(feed);
-    while (isBeginning(feed) && co_await followEarlier(feed)) {
-        co_await pauseBeginning(feed);
+    while (isStartingUp(feed) && co_await followEarlierReaders(feed)) {
+        co_await delayStartup(feed);
     }
 }
 
 // An agent asks gateways alone; one that does not answer may only begin a moment later.
-awaitable<void> FeedService::beginWithPeers(Feed feed)
+awaitable<void> FeedService::startUpFromPeers(Feed feed)
 {
     if (feed != Feed::Members) {
         co_await waitForMembers(feed); // they tell which gateways are near
     }
-    while (isBeginning(feed) && !mPeers().empty()) {
+    while (isStartingUp(feed) && !mPeers().empty()) {
         co_await readPeer(feed);
-        co_await pauseBeginning(feed);
+        co_await delayStartup(feed);
     }
 }
 
 awaitable<void> FeedService::waitForMembers(Feed feed)
 {
-    while (isBeginning(feed) && isWaiting(Feed::Members)) {
-        co_await mChanged->waitUntil(steadyTime(beginUntil(feed)));
+    while (isStartingUp(feed) && isAwaitingData(Feed::Members)) {
+        co_await mChanged->waitUntil(steadyTime(startupDeadline(feed)));
     }
 }
 
-awaitable<void> FeedService::pauseBeginning(Feed feed)
+awaitable<void> FeedService::delayStartup(Feed feed)
 {
-    if (isBeginning(feed)) {
-        co_await sleepFor(jitter(sRetryLeast, sRetryMost));
+    if (isStartingUp(feed)) {
+        co_await sleepFor(jitter(sMinRetryDelay, sMaxRetryDelay));
     }
 }
 
 // Follows whoever reads before this gateway by plan; false when it is its own turn.
-awaitable<bool> FeedService::followEarlier(Feed feed)
+awaitable<bool> FeedService::followEarlierReaders(Feed feed)
 {
     if (!mReaders) {
         co_return false;
     }
     const std::vector<Tcp::endpoint> earlier = mReaders().earlier;
     const auto size = static_cast<std::int64_t>(earlier.size());
-    const Instant beganAt = mBeginUntil - sBeginTime;
-    if (now() >= beganAt + sBeginTurn * size) {
+    const Instant startedAt = mStartupDeadline - sStartupTimeout;
+    if (now() >= startedAt + sStartupReaderTimeout * size) {
         co_return false;
     }
     for (const Tcp::endpoint &address : earlier) {
-        const auto left = std::chrono::duration_cast<Milliseconds>(mBeginUntil - now());
-        if (!isBeginning(feed) || co_await followPeer(feed, address, left)) {
+        const auto left = std::chrono::duration_cast<Milliseconds>(mStartupDeadline - now());
+        if (!isStartingUp(feed) || co_await followPeer(feed, address, left)) {
             break;
         }
     }
@@ -329,19 +331,19 @@
 awaitable<void> FeedService::follow(Feed feed)
 {
     co_await sleepFor(Milliseconds(0)); // the services that start after this one listen
-    co_await begin(feed);
+    co_await startUp(feed);
     while (!mStopped) {
-        bool good = false;
+        bool hasSucceeded = false;
         if (isFollower(feed) && co_await followReader(feed)) {
             continue;
         }
         if (mPreference == FeedPreference::Store) {
-            good = co_await readStore(feed) || co_await readPeer(feed);
+            hasSucceeded = co_await readStore(feed) || co_await readPeer(feed);
         } else {
-            good = co_await readPeer(feed) || co_await readStore(feed);
+            hasSucceeded = co_await readPeer(feed) || co_await readStore(feed);
         }
-        if (!good) {
-            co_await sleepFor(jitter(sRetryLeast, sRetryMost));
+        if (!hasSucceeded) {
+            co_await sleepFor(jitter(sMinRetryDelay, sMaxRetryDelay));
         }
     }
 }
@@ -350,22 +352,23 @@
 awaitable<bool> FeedService::readStore(Feed feed)
 {
     FeedState &state = this->state(feed);
-    bool gaveSomething = false;
+    bool hasRead = false;
     // A process that prefers its peers uses the store for one read at a time.
-    const bool isOnce = mPreference == FeedPreference::Peers;
+    const bool isSingleRead = mPreference == FeedPreference::Peers;
     while (!mStopped) {
         if (!state.isSynced) {
             if (!co_await sync(feed)) {
-                co_return gaveSomething;
+                co_return hasRead;
             }
-            gaveSomething = true;
+            hasRead = true;
         }
-        const std::uint64_t from = state.book.nextOffset();
-        const Milliseconds wait = isOnce ? sRetryLeast : nextWait(feed);
+        const std::uint64_t from = state.table.nextOffset();
+        const Milliseconds wait = isSingleRead ? sMinRetryDelay : nextPollTimeout(feed);
         const Instant asked = now();
         const auto batch = co_await mStore.read(feed, from, wait);
         if (!batch) {
-            noteStore(feed, batch.error() == StoreError::Forgotten, storeErrorName(batch.error()));
+            updateStoreState(feed, batch.error() == StoreError::Forgotten,
+                             storeErrorName(batch.error()));
             // Whatever was missed is read from where the book ends: a full read after
             // each failure asks for everything again just when the way to the store is
             // worst, from every gateway at once.
@@ -373,33 +376,33 @@
                 state.isSynced = false;
                 continue;
             }
-            co_return gaveSomething;
+            co_return hasRead;
         }
-        gaveSomething = true;
-        noteStore(feed, true, "read");
+        hasRead = true;
+        updateStoreState(feed, true, "read");
         const Microseconds age = ageOfRead(feed, wait);
         countRead(feed, "onward", batch->bytes);
         for (const FeedRecord &record : batch->records) {
             apply(feed, record, age);
         }
-        state.book.setNextOffset(batch->next);
+        state.table.setNextOffset(batch->next);
         // The answer may have been on its way for long: the store looked at the question
         // at the earliest, or after the wait if it found nothing in all of it.
         const bool hasFound = !batch->records.empty();
-        state.wasEarly = hasFound || now() < asked + wait;
+        state.hasReturnedEarly = hasFound || now() < asked + wait;
         if (!batch->hasMore) {
-            noteComplete(feed, state.wasEarly ? asked : asked + wait);
+            updateCompleteAt(feed, state.hasReturnedEarly ? asked : asked + wait);
         }
         state.isRelayDoubtful = false;
         if (hasFound) {
             wakeFollowers(feed);
-            co_await sleepFor(pauseOf(feed));
+            co_await sleepFor(readDelay(feed));
         }
-        if (isOnce || isFollower(feed)) {
+        if (isSingleRead || isFollower(feed)) {
             co_return true;
         }
     }
-    co_return gaveSomething;
+    co_return hasRead;
 }
 
 awaitable<bool> FeedService::sync(Feed feed)
@@ -408,29 +411,29 @@
     const Instant asked = now();
     const auto batch = co_await mStore.newest(feed);
     if (!batch) {
-        noteStore(feed, false, storeErrorName(batch.error()));
+        updateStoreState(feed, false, storeErrorName(batch.error()));
         co_return false;
     }
-    noteStore(feed, true, "full read");
+    updateStoreState(feed, true, "full read");
     countRead(feed, "full", batch->bytes);
     // How long ago old records were written is not known at the first read.
     const LoopStep step("taking a full read");
-    const Microseconds age = state.isFirst ? sUnknownAge : ageOfRead(feed, Milliseconds(0));
-    for (const std::string &key : state.book.applySnapshot(batch->records, batch->next)) {
+    const Microseconds age = state.isFirstSync ? sUnknownAge : ageOfRead(feed, Milliseconds(0));
+    for (const std::string &key : state.table.applySnapshot(batch->records, batch->next)) {
         state.learnedAt[key] = now() - std::min(age, sUnknownAge);
-        state.ways[key] = RecordWay();
-        announce(feed, state.book.all().find(key)->second, age);
+        state.origins[key] = RecordOrigin();
+        notifyListeners(feed, state.table.all().find(key)->second, age);
     }
-    state.removalsFrom = batch->next;
-    state.isFirst = false;
+    state.removalsKnownFrom = batch->next;
+    state.isFirstSync = false;
     state.isSynced = true;
-    state.wasEarly = false;
-    noteComplete(feed, asked);
+    state.hasReturnedEarly = false;
+    updateCompleteAt(feed, asked);
     wakeFollowers(feed);
     co_return true;
 }
 
-void FeedService::noteStore(Feed feed, bool reached, std::string_view why)
+void FeedService::updateStoreState(Feed feed, bool reached, std::string_view why)
 {
     FeedState &state = this->state(feed);
     if (!reached) {
@@ -443,7 +446,7 @@
     }
     state.isStoreReached = reached;
     logLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "store-regained" : "store-lost",
-            {{"feed", feedName(feed)}, {"why", why}, {"offset", state.book.nextOffset()}});
+            {{"feed", feedName(feed)}, {"why", why}, {"offset", state.table.nextOffset()}});
 }
 
 void FeedService::countRead(Feed feed, std::string_view kind, std::uint64_t bytes)
@@ -456,46 +459,48 @@
 
 // Replicas write every second or so that they are alive. With hundreds of them,
 // relaying that to every process would take more of a box than all else.
-bool FeedService::isPassedOver(Feed feed, const FeedRecord &record) const
+bool FeedService::isUnchanged(Feed feed, const FeedRecord &record) const
 {
     const FeedState &state = this->state(feed);
-    if (!state.isSame || !record.value) {
+    if (!state.isEquivalent || !record.value) {
         return false;
     }
-    const auto known = state.book.all().find(record.key);
-    const bool hasValue = known != state.book.all().end() && known->second.value;
-    return hasValue && known->second.offset < record.offset && state.isSame(known->second, record);
+    const auto known = state.table.all().find(record.key);
+    const bool hasValue = known != state.table.all().end() && known->second.value;
+    return hasValue && known->second.offset < record.offset
+        && state.isEquivalent(known->second, record);
 }
 
-void FeedService::apply(Feed feed, const FeedRecord &record, Microseconds age, RecordWay way)
+void FeedService::apply(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin)
 {
     FeedState &state = this->state(feed);
-    if (isPassedOver(feed, record) || !state.book.apply(record)) {
+    if (isUnchanged(feed, record) || !state.table.apply(record)) {
         return;
     }
     state.learnedAt[record.key] = now() - std::min(age, sUnknownAge);
-    state.ways[record.key] = std::move(way);
-    announce(feed, record, age);
+    state.origins[record.key] = std::move(origin);
+    notifyListeners(feed, record, age);
 }
 
 // Changes that came together are relayed as the last of them. One that says what is
 // known may have had another between: its offset must be kept, or whoever heard of the
 // other would never learn that it holds no more.
-void FeedService::applyRelayed(Feed feed, const FeedRecord &record, Microseconds age, RecordWay way)
+void FeedService::applyRelayed(Feed feed, const FeedRecord &record, Microseconds age,
+                               RecordOrigin origin)
 {
-    if (isPassedOver(feed, record)) {
+    if (isUnchanged(feed, record)) {
         // Followers of this process may know what came between.
-        state(feed).changes += state(feed).book.apply(record) ? 1 : 0;
+        state(feed).changeCount += state(feed).table.apply(record) ? 1 : 0;
         return;
     }
-    apply(feed, record, age, std::move(way));
+    apply(feed, record, age, std::move(origin));
 }
 
-void FeedService::announce(Feed feed, const FeedRecord &record, Microseconds age)
+void FeedService::notifyListeners(Feed feed, const FeedRecord &record, Microseconds age)
 {
     FeedState &state = this->state(feed);
-    ++state.changes;
-    const FeedChange change{record, age, !isDoubtful(feed), state.ways[record.key]};
+    ++state.changeCount;
+    const FeedChange change{record, age, !isStoreDoubtful(feed), state.origins[record.key]};
     for (const Listener &listener : state.listeners) {
         listener(change);
     }
@@ -509,11 +514,12 @@
         co_return false;
     }
     // The first ones are near; a failure moves on, and a good turn starts over.
-    const Tcp::endpoint &address = peers[mTurn % peers.size()];
+    const Tcp::endpoint &address = peers[mPeerIndex % peers.size()];
     const bool isPreferred = mPreference == FeedPreference::Peers;
-    const bool good = co_await followPeer(feed, address, isPreferred ? sRelayLongTurn : sRelayTurn);
-    mTurn = good ? 0 : mTurn + 1;
-    co_return good;
+    const bool hasSucceeded = co_await followPeer(
+        feed, address, isPreferred ? sPreferredFollowDuration : sFallbackFollowDuration);
+    mPeerIndex = hasSucceeded ? 0 : mPeerIndex + 1;
+    co_return hasSucceeded;
 }
 
 // Follows one of those that read the store, until it stands still or its own
@@ -526,18 +532,18 @@
     }
     // Followers spread over the readers, and turn to another after each failure.
     const std::size_t own = std::hash<std::string>()(mBox);
-    const Tcp::endpoint &address = readers[(own + mTurn) % readers.size()];
-    const bool good = co_await followPeer(feed, address, sRelayLongTurn);
-    if (!good) {
-        ++mTurn;
+    const Tcp::endpoint &address = readers[(own + mPeerIndex) % readers.size()];
+    const bool hasSucceeded = co_await followPeer(feed, address, sPreferredFollowDuration);
+    if (!hasSucceeded) {
+        ++mPeerIndex;
         logLine(LogLevel::Warning, "reader-lost",
                 {{"feed", feedName(feed)}, {"reader", endpointText(address)}});
     }
-    co_return good;
+    co_return hasSucceeded;
 }
 
 // False when the peer could not be reached, went silent, or knows nothing new itself.
-awaitable<bool> FeedService::followPeer(Feed feed, Tcp::endpoint address, Milliseconds longest)
+awaitable<bool> FeedService::followPeer(Feed feed, Tcp::endpoint address, Milliseconds maxDuration)
 {
     const PeerStreamPtr stream = co_await mHub->open(address, std::string(sFollowPath));
     if (!stream) {
@@ -548,54 +554,54 @@
     request.set_box(mBox);
     request.set_known_before(knownBefore(feed));
     const bool asFollower = isFollower(feed);
-    const Milliseconds mostAge = feed == Feed::Members ? sRelayedMembersAge : sRelayedAge;
-    const Instant until = now() + longest;
-    PendingQueries questions(now());
+    const Milliseconds maxAge = feed == Feed::Members ? sMaxRelayedMembersAge : sMaxRelayedAge;
+    const Instant until = now() + maxDuration;
+    PendingQueries queries(now());
     stream->send(request);
-    Instant askedAt = now();
-    Instant heardAt = now();
+    Instant lastQueryAt = now();
+    Instant lastReceivedAt = now();
     std::uint64_t bytes = 0;
-    bool heard = false;
+    bool hasReceived = false;
     while (!mStopped && now() < until) {
         // A long update needs several turns of the stream's window. Asked for anew while
         // it arrives, it would never come and fill the way; its sender ends what takes
         // too long.
         if (stream->bytesIn() != bytes) {
             bytes = stream->bytesIn();
-            heardAt = now();
+            lastReceivedAt = now();
         }
-        if (now() >= askedAt + sRelayAsk) {
-            askedAt = now();
-            questions.ask(askedAt);
+        if (now() >= lastQueryAt + sRelayQueryInterval) {
+            lastQueryAt = now();
+            queries.ask(lastQueryAt);
             stream->send(wire::FollowRequest());
         }
-        const Instant lostAt = heardAt + sRelaySilence;
-        const auto deadline = steadyTime(std::min(lostAt, askedAt + sRelayAsk));
+        const Instant timeoutAt = lastReceivedAt + sRelayTimeout;
+        const auto deadline = steadyTime(std::min(timeoutAt, lastQueryAt + sRelayQueryInterval));
         const auto update = co_await stream->receiveMessage<wire::FollowUpdate>(deadline);
-        if (!update && update.error() == PeerError::TimedOut && now() < lostAt) {
+        if (!update && update.error() == PeerError::TimedOut && now() < timeoutAt) {
             continue; // the next question is due
         }
-        const bool isWaiting = update && *update && (*update)->waiting();
-        if (isWaiting && isBeginning(feed)) {
-            questions.answered();
-            heardAt = now();
-            heard = true;
+        const bool isAwaitingData = update && *update && (*update)->waiting();
+        if (isAwaitingData && isStartingUp(feed)) {
+            queries.answered();
+            lastReceivedAt = now();
+            hasReceived = true;
             continue;
         }
         const bool isGood
-            = !isWaiting && update && *update && takeUpdate(feed, **update, questions, address);
-        if (!isGood || (asFollower && Milliseconds((*update)->age_ms()) > mostAge)) {
+            = !isAwaitingData && update && *update && applyUpdate(feed, **update, queries, address);
+        if (!isGood || (asFollower && Milliseconds((*update)->age_ms()) > maxAge)) {
             stream->reset();
             co_return false;
         }
-        heard = true;
-        heardAt = now();
+        hasReceived = true;
+        lastReceivedAt = now();
         if (asFollower && !isFollower(feed)) {
             break; // it is this process's turn to read
         }
     }
     stream->reset();
-    co_return heard;
+    co_return hasReceived;
 }
 
 // Nothing where it holds something that cannot be read.
@@ -604,7 +610,7 @@
 {
     FeedRecord record{relayed.key(), std::nullopt, relayed.offset()};
     if (!relayed.compressed().empty()) {
-        auto value = decompressed(relayed.compressed(), sMostValue);
+        auto value = decompressed(relayed.compressed(), sMaxValueSize);
         if (!value) {
             logLine(LogLevel::Error, "relayed-record-refused",
                     {{"feed", feedName(feed)}, {"key", relayed.key()}, {"problem", value.error()}});
@@ -619,8 +625,8 @@
 
 // False when it holds something that cannot be read; how far it reaches counts for
 // nothing then, so that the store is asked for the same records.
-bool FeedService::takeUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &questions,
-                             const Tcp::endpoint &from)
+bool FeedService::applyUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &queries,
+                              const Tcp::endpoint &from)
 {
     const LoopStep step("taking an update");
     FeedState &state = this->state(feed);
@@ -628,29 +634,29 @@
     // Ages were told when the update was sent. It may have been on its way for long, so
     // they count from the last question that the sender had heard by then.
     const bool isAnswer = update.records().empty() && !update.whole();
-    const std::optional<Instant> saidAt = isAnswer ? questions.answered() : questions.heard();
+    const std::optional<Instant> knownAsOf = isAnswer ? queries.answered() : queries.heard();
     for (const wire::RelayedRecord &relayed : update.records()) {
         const auto record = readRelayed(feed, relayed);
         if (!record) {
             return false;
         }
-        applyRelayed(feed, *record, now() - *saidAt + Milliseconds(relayed.age_ms()),
+        applyRelayed(feed, *record, now() - *knownAsOf + Milliseconds(relayed.age_ms()),
                      {endpointText(from), relayed.hops() + 1});
     }
     if (update.whole()) {
-        takeWhole(feed, update, now() - *saidAt);
+        applyFullUpdate(feed, update, now() - *knownAsOf);
     }
     // Each update holds all that the other process knows and had not told yet, so
     // this book now reaches as far as its own.
-    if (update.next_offset() > state.book.nextOffset()) {
-        state.book.setNextOffset(update.next_offset());
+    if (update.next_offset() > state.table.nextOffset()) {
+        state.table.setNextOffset(update.next_offset());
     }
     if (update.complete()) {
         state.isSynced = true;
-        state.isFirst = false;
+        state.isFirstSync = false;
     }
-    if (saidAt) {
-        noteComplete(feed, *saidAt - Milliseconds(update.age_ms()));
+    if (knownAsOf) {
+        updateCompleteAt(feed, *knownAsOf - Milliseconds(update.age_ms()));
     }
     if (!isAnswer) {
         wakeFollowers(feed);
@@ -660,66 +666,67 @@
 
 // Whatever the store held no more when it was read in full is gone, although nobody
 // tells of its removal.
-void FeedService::takeWhole(Feed feed, const wire::FollowUpdate &update, Microseconds age)
+void FeedService::applyFullUpdate(Feed feed, const wire::FollowUpdate &update, Microseconds age)
 {
     FeedState &state = this->state(feed);
     std::set<std::string_view> present;
     for (const wire::RelayedRecord &relayed : update.records()) {
         present.insert(relayed.key());
     }
-    std::vector<std::string> gone;
-    for (const auto &[key, record] : state.book.all()) {
+    std::vector<std::string> removedKeys;
+    for (const auto &[key, record] : state.table.all()) {
         if (record.value && record.offset < update.next_offset() && !present.contains(key)) {
-            gone.push_back(key);
+            removedKeys.push_back(key);
         }
     }
-    for (const std::string &key : gone) {
+    for (const std::string &key : removedKeys) {
         apply(feed, {key, std::nullopt, update.next_offset() - 1}, age);
     }
-    state.removalsFrom = std::max(state.removalsFrom, update.next_offset());
+    state.removalsKnownFrom = std::max(state.removalsKnownFrom, update.next_offset());
 }
 
 // A configuration of some thousand routes has some hundred kilobytes. Relayed to a dozen
 // followers as it is, it takes the link of its reader for about a second, and callers'
 // requests share that link. Compressed it is a tenth.
-void FeedService::putValue(FeedState &state, const FeedRecord &record, wire::RelayedRecord &relayed)
+void FeedService::setRelayedValue(FeedState &state, const FeedRecord &record,
+                                  wire::RelayedRecord &relayed)
 {
     if (!record.value) {
         return;
     }
-    if (record.value->size() < sLeastCompressed) {
+    if (record.value->size() < sMinCompressedSize) {
         relayed.set_value(*record.value);
         return;
     }
-    CompressedValue &kept = state.compressed[record.key];
-    if (kept.bytes.empty() || kept.offset != record.offset) {
+    CompressedValue &cached = state.compressed[record.key];
+    if (cached.bytes.empty() || cached.offset != record.offset) {
         const LoopStep step("compressing a record");
-        kept = {record.offset, compressed(*record.value)};
+        cached = {record.offset, compressed(*record.value)};
     }
-    relayed.set_compressed(kept.bytes);
+    relayed.set_compressed(cached.bytes);
 }
 
 // A book that never was complete has gaps before its end.
 std::uint64_t FeedService::knownBefore(Feed feed) const
 {
     const FeedState &state = this->state(feed);
-    return state.isSynced ? state.book.nextOffset() : 0;
+    return state.isSynced ? state.table.nextOffset() : 0;
 }
 
 // What a follower has not been told yet.
-wire::FollowUpdate FeedService::news(Follower &follower)
+wire::FollowUpdate FeedService::newRecords(Follower &follower)
 {
     const LoopStep step("building an update for a follower");
     FeedState &state = this->state(follower.feed);
     wire::FollowUpdate update;
-    if (follower.seen == state.changes) {
+    if (follower.sentChangeCount == state.changeCount) {
         return update;
     }
-    follower.seen = state.changes;
-    for (const auto &[key, record] : state.book.all()) {
-        const std::uint64_t rank = rankOf(record);
-        ToldRanks &told = follower.told;
-        std::uint64_t &known = told.byKey.try_emplace(key, told.all).first->second;
+    follower.sentChangeCount = state.changeCount;
+    for (const auto &[key, record] : state.table.all()) {
+        const std::uint64_t rank = recordRank(record);
+        SentRanks &sent = follower.sent;
+        std::uint64_t &known = sent.byKey.try_emplace(key, sent.all).first->second;
         if (known >= rank) {
             continue;
         }
@@ -727,80 +734,81 @@
         wire::RelayedRecord &relayed = *update.add_records();
         relayed.set_key(key);
         relayed.set_removed(!record.value);
-        putValue(state, record, relayed);
+        setRelayedValue(state, record, relayed);
         relayed.set_offset(record.offset);
-        relayed.set_hops(state.ways[key].hops);
+        relayed.set_hops(state.origins[key].hops);
         const auto age = std::chrono::ceil<Milliseconds>(now() - state.learnedAt[key]);
         relayed.set_age_ms(static_cast<std::uint64_t>(age.count()));
     }
     return update;
 }
 
-void FeedService::putState(Feed feed, wire::FollowUpdate &update) const
+void FeedService::setUpdateState(Feed feed, wire::FollowUpdate &update) const
 {
     const auto age = std::chrono::ceil<Milliseconds>(this->age(feed).value_or(sUnknownAge));
     update.set_age_ms(static_cast<std::uint64_t>(age.count()));
-    update.set_next_offset(state(feed).book.nextOffset());
+    update.set_next_offset(state(feed).table.nextOffset());
     update.set_complete(state(feed).isSynced);
-    update.set_store_doubtful(isDoubtful(feed));
+    update.set_store_doubtful(isStoreDoubtful(feed));
 }
 
 // News first, so that the answers stand for all that is known here; false when nothing
 // is known that could be told.
-bool FeedService::tell(Follower &follower)
+bool FeedService::sendUpdate(Follower &follower)
 {
-    wire::FollowUpdate update = completeNews(follower);
+    wire::FollowUpdate update = buildUpdate(follower);
     if (!state(follower.feed).completeAt && update.records().empty()) {
-        return sayWaiting(follower);
+        return sendWaiting(follower);
     }
-    putState(follower.feed, update);
+    setUpdateState(follower.feed, update);
     if (!update.records().empty() || update.whole()) {
         follower.stream->send(update);
         update.clear_records();
         update.set_whole(false);
     }
-    answerQuestions(follower, update);
+    answerQueries(follower, update);
     return true;
 }
 
-void FeedService::answerQuestions(Follower &follower, const wire::FollowUpdate &answer)
+void FeedService::answerQueries(Follower &follower, const wire::FollowUpdate &answer)
 {
-    for (; follower.openQuestions > 0; --follower.openQuestions) {
+    for (; follower.pendingQueryCount > 0; --follower.pendingQueryCount) {
         follower.stream->send(answer);
     }
 }
 
 // Nothing is known here yet; false when nothing will be soon.
-bool FeedService::sayWaiting(Follower &follower) const
+bool FeedService::sendWaiting(Follower &follower) const
 {
     wire::FollowUpdate update;
     update.set_waiting(true);
-    answerQuestions(follower, update);
-    return isWaiting(follower.feed);
+    answerQueries(follower, update);
+    return isAwaitingData(follower.feed);
 }
 
 // Of removals before its own full read this process knows nothing: a follower whose
 // book ends before that is told all keys.
-wire::FollowUpdate FeedService::completeNews(Follower &follower)
+wire::FollowUpdate FeedService::buildUpdate(Follower &follower)
 {
     const FeedState &state = this->state(follower.feed);
-    if (follower.seen == state.changes) {
+    if (follower.sentChangeCount == state.changeCount) {
         return {};
     }
-    ToldRanks &told = follower.told;
-    const bool isWhole = state.isSynced && told.knownBefore < state.removalsFrom;
-    if (isWhole) {
-        told = {};
+    SentRanks &sent = follower.sent;
+    const bool isFullUpdate = state.isSynced && sent.knownBefore < state.removalsKnownFrom;
+    if (isFullUpdate) {
+        sent = {};
     }
-    wire::FollowUpdate update = news(follower);
-    update.set_whole(isWhole);
-    told.knownBefore = state.isSynced ? state.book.nextOffset() : told.knownBefore;
+    wire::FollowUpdate update = newRecords(follower);
+    update.set_whole(isFullUpdate);
+    sent.knownBefore = state.isSynced ? state.table.nextOffset() : sent.knownBefore;
     return update;
 }
 
-bool FeedService::hasToTell(const Follower &follower) const
+bool FeedService::hasPendingUpdate(const Follower &follower) const
 {
-    return follower.openQuestions > 0 || follower.seen != state(follower.feed).changes;
+    return follower.pendingQueryCount > 0
+        || follower.sentChangeCount != state(follower.feed).changeCount;
 }
 
 void FeedService::wakeFollowers(Feed feed)
@@ -808,7 +816,7 @@
     mChanged->notify();
     for (const FollowerPtr &follower : mFollowers) {
         if (follower->feed == feed) {
-            follower->woken.notify();
+            follower->wakeSignal.notify();
         }
     }
 }
@@ -820,35 +828,34 @@
     }
 }
 
-awaitable<void> FeedService::hearQuestions(FollowerPtr follower)
+awaitable<void> FeedService::receiveQueries(FollowerPtr follower)
 {
     while (!mStopped) {
-        const auto deadline = std::chrono::steady_clock::now() + sFollowerSilence;
-        const auto question
-            = co_await follower->stream->receiveMessage<wire::FollowRequest>(deadline);
-        if (!question || !*question) {
+        const auto deadline = std::chrono::steady_clock::now() + sFollowerTimeout;
+        const auto query = co_await follower->stream->receiveMessage<wire::FollowRequest>(deadline);
+        if (!query || !*query) {
             break;
         }
-        ++follower->openQuestions;
-        follower->woken.notify();
+        ++follower->pendingQueryCount;
+        follower->wakeSignal.notify();
     }
     follower->stream->reset();
-    follower->woken.notify();
+    follower->wakeSignal.notify();
 }
 
-awaitable<void> FeedService::tellFollower(FollowerPtr follower)
+awaitable<void> FeedService::sendUpdates(FollowerPtr follower)
 {
     const PeerStreamPtr &stream = follower->stream;
-    while (stream->isOpen() && !mStopped && tell(*follower)) {
+    while (stream->isOpen() && !mStopped && sendUpdate(*follower)) {
         // On a narrow link several changes join to one: only the newest counts.
-        if (!co_await stream->sentBy(std::chrono::steady_clock::now() + sTakeTime)) {
+        if (!co_await stream->sentBy(std::chrono::steady_clock::now() + sFollowerSendTimeout)) {
             co_return;
         }
-        while (stream->isOpen() && !mStopped && !hasToTell(*follower)) {
-            co_await follower->woken.waitFor(sFollowerSilence);
+        while (stream->isOpen() && !mStopped && !hasPendingUpdate(*follower)) {
+            co_await follower->wakeSignal.waitFor(sFollowerTimeout);
         }
-        if (follower->openQuestions == 0) {
-            co_await sleepFor(sRelayBatch);
+        if (follower->pendingQueryCount == 0) {
+            co_await sleepFor(sRelayBatchDelay);
         }
     }
 }
@@ -864,12 +871,12 @@
     const auto executor = stream->connection()->executor();
     // A whole book for each stream that begins anew fills the links that callers use.
     const std::uint64_t knownBefore = (*request)->known_before();
-    ToldRanks told{lastKnownRank(knownBefore), knownBefore, {}};
+    SentRanks sent{lastKnownRank(knownBefore), knownBefore, {}};
     const auto follower = std::make_shared<Follower>(Follower{
-        stream, static_cast<Feed>((*request)->feed()), std::move(told), {}, 1, Signal(executor)});
+        stream, static_cast<Feed>((*request)->feed()), std::move(sent), {}, 1, Signal(executor)});
     mFollowers.insert(follower);
-    asio::co_spawn(executor, hearQuestions(follower), asio::detached);
-    co_await tellFollower(follower);
+    asio::co_spawn(executor, receiveQueries(follower), asio::detached);
+    co_await sendUpdates(follower);
     mFollowers.erase(follower);
     stream->reset();
 }
--- a/src/libloomjunction/gateway/feedservice.h
+++ b/src/libloomjunction/gateway/feedservice.h
@@ -52,7 +52,7 @@
 };
 
 /** How a record came to this process. */
-struct RecordWay
+struct RecordOrigin
 {
     std::string from = "store"; ///< or the address of the process that it was followed from
     std::uint32_t hops = 0; ///< processes between the store and this one
@@ -64,7 +64,7 @@
     const FeedRecord &record;
     Microseconds age; ///< since the store may have taken it, the way to here included
     bool isTrusted; ///< the store was well for a while when it said so
-    const RecordWay &way;
+    const RecordOrigin &origin;
 };
 
 /**
@@ -80,7 +80,8 @@
     using PeerAddresses = std::function<std::vector<Tcp::endpoint>()>;
     using Readers = std::function<FeedReaders()>;
     /** Whether a new value of a record says the same as its old one. */
-    using SameMeaning = std::function<bool(const FeedRecord &known, const FeedRecord &next)>;
+    using EquivalencePredicate
+        = std::function<bool(const FeedRecord &known, const FeedRecord &next)>;
 
     FeedService(StorePort &store, std::string box, FeedPreference preference);
 
@@ -93,12 +94,15 @@
     /** Calls @p listener for every change of @p feed; add before start. */
     void listen(Feed feed, Listener listener);
     /** Records that say the same again are neither told to listeners nor relayed. */
-    void passOver(Feed feed, SameMeaning isSame) { state(feed).isSame = std::move(isSame); }
+    void skipUnchanged(Feed feed, EquivalencePredicate isEquivalent)
+    {
+        state(feed).isEquivalent = std::move(isEquivalent);
+    }
     /** Least time between two reads of replicas' records; a draining one gets requests till then.
      */
-    void setReplicasPause(Milliseconds pause) { mReplicasPause = pause; }
+    void setReplicasReadDelay(Milliseconds pause) { mReplicasReadDelay = pause; }
     /** Most that the knowledge of operators' records may wait for a quiet store's answer. */
-    void setOperatorsWait(Milliseconds wait);
+    void setOperatorsPollTimeout(Milliseconds wait);
     /** Entries that may be asked for records. */
     void setPeers(PeerAddresses peers) { mPeers = std::move(peers); }
 
@@ -111,8 +115,8 @@
     bool hasStoreFailed() const;
     bool isStoreReached(Feed feed) const { return state(feed).isStoreReached; }
     /** This process began so lately that it trusts a plan more than what it heard. */
-    bool isBeginTime() const { return now() < mBeginUntil; }
-    const FeedTable &book(Feed feed) const { return state(feed).book; }
+    bool isInStartup() const { return now() < mStartupDeadline; }
+    const FeedTable &table(Feed feed) const { return state(feed).table; }
 
 private:
     struct CompressedValue
@@ -122,7 +126,7 @@
     };
 
     /** What one follower knows: of each key the newest record, by its rank. */
-    struct ToldRanks
+    struct SentRanks
     {
         std::uint64_t all = 0; ///< every record up to this rank
         std::uint64_t knownBefore = 0; ///< all is known before this offset
@@ -131,11 +135,11 @@
 
     struct FeedState
     {
-        FeedTable book;
+        FeedTable table;
         std::vector<Listener> listeners;
-        SameMeaning isSame;
+        EquivalencePredicate isEquivalent;
         std::map<std::string, Instant> learnedAt;
-        std::map<std::string, RecordWay> ways; ///< of the newest record of each key
+        std::map<std::string, RecordOrigin> origins; ///< of the newest record of each key
         /** Long values as they are relayed, by key; made once for all followers. */
         std::map<std::string, CompressedValue> compressed;
         std::optional<Instant> completeAt;
@@ -143,11 +147,11 @@
         bool hasStoreFailed = false;
         bool isStoreReached = false;
         bool isSynced = false; ///< the book holds all that the store kept before its end
-        std::uint64_t removalsFrom = 0; ///< removals at it or later are in the book
-        bool isFirst = true; ///< the book was never complete yet in this life
+        std::uint64_t removalsKnownFrom = 0; ///< removals at it or later are in the book
+        bool isFirstSync = true; ///< the book was never complete yet in this life
         bool isRelayDoubtful = false; ///< what the followed process says of its store
-        bool wasEarly = false; ///< the last read of the store came back before its wait
-        std::uint64_t changes = 0;
+        bool hasReturnedEarly = false; ///< the last read of the store came back before its wait
+        std::uint64_t changeCount = 0;
     };
 
     /** Another process that follows a feed here. */
@@ -155,10 +159,10 @@
     {
         PeerStreamPtr stream;
         Feed feed = Feed::Operators;
-        ToldRanks told;
-        std::optional<std::uint64_t> seen; ///< changes of the feed that it was told
-        std::uint32_t openQuestions = 1; ///< the one that opened the stream is the first
-        Signal woken;
+        SentRanks sent;
+        std::optional<std::uint64_t> sentChangeCount; ///< changes of the feed that it was told
+        std::uint32_t pendingQueryCount = 1; ///< the one that opened the stream is the first
+        Signal wakeSignal;
     };
     using FollowerPtr = std::shared_ptr<Follower>;
 
@@ -166,50 +170,51 @@
     const FeedState &state(Feed feed) const { return mFeeds[static_cast<std::size_t>(feed)]; }
 
     awaitable<void> follow(Feed feed);
-    awaitable<void> begin(Feed feed);
-    awaitable<void> beginWithPeers(Feed feed);
+    awaitable<void> startUp(Feed feed);
+    awaitable<void> startUpFromPeers(Feed feed);
     awaitable<void> waitForMembers(Feed feed);
-    awaitable<void> pauseBeginning(Feed feed);
-    awaitable<bool> followEarlier(Feed feed);
-    Instant beginUntil(Feed feed) const;
-    bool isBeginning(Feed feed) const;
-    bool isWaiting(Feed feed) const;
+    awaitable<void> delayStartup(Feed feed);
+    awaitable<bool> followEarlierReaders(Feed feed);
+    Instant startupDeadline(Feed feed) const;
+    bool isStartingUp(Feed feed) const;
+    bool isAwaitingData(Feed feed) const;
     awaitable<bool> readStore(Feed feed);
     awaitable<bool> sync(Feed feed);
     awaitable<bool> readPeer(Feed feed);
-    awaitable<bool> followPeer(Feed feed, Tcp::endpoint address, Milliseconds longest);
+    awaitable<bool> followPeer(Feed feed, Tcp::endpoint address, Milliseconds maxDuration);
     awaitable<bool> followReader(Feed feed);
     bool isFollower(Feed feed) const;
-    bool isDoubtful(Feed feed) const;
-    static void putValue(FeedState &state, const FeedRecord &record, wire::RelayedRecord &relayed);
-    bool takeUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &questions,
-                    const Tcp::endpoint &from);
-    void takeWhole(Feed feed, const wire::FollowUpdate &update, Microseconds age);
+    bool isStoreDoubtful(Feed feed) const;
+    static void setRelayedValue(FeedState &state, const FeedRecord &record,
+                                wire::RelayedRecord &relayed);
+    bool applyUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &queries,
+                     const Tcp::endpoint &from);
+    void applyFullUpdate(Feed feed, const wire::FollowUpdate &update, Microseconds age);
     std::optional<FeedRecord> readRelayed(Feed feed, const wire::RelayedRecord &relayed) const;
     std::uint64_t knownBefore(Feed feed) const;
-    void noteComplete(Feed feed, Instant at);
-    wire::FollowUpdate news(Follower &follower);
-    wire::FollowUpdate completeNews(Follower &follower);
-    void putState(Feed feed, wire::FollowUpdate &update) const;
-    bool tell(Follower &follower);
-    bool sayWaiting(Follower &follower) const;
-    static void answerQuestions(Follower &follower, const wire::FollowUpdate &answer);
-    bool hasToTell(const Follower &follower) const;
-    awaitable<void> hearQuestions(FollowerPtr follower);
-    awaitable<void> tellFollower(FollowerPtr follower);
+    void updateCompleteAt(Feed feed, Instant at);
+    wire::FollowUpdate newRecords(Follower &follower);
+    wire::FollowUpdate buildUpdate(Follower &follower);
+    void setUpdateState(Feed feed, wire::FollowUpdate &update) const;
+    bool sendUpdate(Follower &follower);
+    bool sendWaiting(Follower &follower) const;
+    static void answerQueries(Follower &follower, const wire::FollowUpdate &answer);
+    bool hasPendingUpdate(const Follower &follower) const;
+    awaitable<void> receiveQueries(FollowerPtr follower);
+    awaitable<void> sendUpdates(FollowerPtr follower);
     void wakeFollowers(Feed feed);
     void wakeAllFollowers();
-    void noteStore(Feed feed, bool reached, std::string_view why);
+    void updateStoreState(Feed feed, bool reached, std::string_view why);
     void countRead(Feed feed, std::string_view kind, std::uint64_t bytes);
-    void apply(Feed feed, const FeedRecord &record, Microseconds age, RecordWay way = {});
-    void applyRelayed(Feed feed, const FeedRecord &record, Microseconds age, RecordWay way);
-    void announce(Feed feed, const FeedRecord &record, Microseconds age);
+    void apply(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin = {});
+    void applyRelayed(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin);
+    void notifyListeners(Feed feed, const FeedRecord &record, Microseconds age);
     awaitable<void> serveFollower(PeerStreamPtr stream);
-    Milliseconds waitOf(Feed feed) const;
-    Milliseconds nextWait(Feed feed) const;
+    Milliseconds pollTimeout(Feed feed) const;
+    Milliseconds nextPollTimeout(Feed feed) const;
     Microseconds ageOfRead(Feed feed, Milliseconds wait) const;
-    Milliseconds pauseOf(Feed feed) const;
-    bool isPassedOver(Feed feed, const FeedRecord &record) const;
+    Milliseconds readDelay(Feed feed) const;
+    bool isUnchanged(Feed feed, const FeedRecord &record) const;
 
     StorePort &mStore;
     std::string mBox;
@@ -221,10 +226,10 @@
     std::array<FeedState, sFeedCount> mFeeds;
     std::unique_ptr<Signal> mChanged; ///< something was learned, or the store was lost
     std::set<FollowerPtr> mFollowers;
-    Milliseconds mReplicasPause{200};
-    Milliseconds mOperatorsWait{2'000};
-    std::uint64_t mTurn = 0;
-    Instant mBeginUntil; ///< others are waited for till then
+    Milliseconds mReplicasReadDelay{200};
+    Milliseconds mOperatorsPollTimeout{2'000};
+    std::uint64_t mPeerIndex = 0;
+    Instant mStartupDeadline; ///< others are waited for till then
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/gatewaycall.cpp
+++ b/src/libloomjunction/gateway/gatewaycall.cpp
@@ -455,7 +455,7 @@
         co_return AttemptUnknown{"failure " + std::to_string(head.status) + " on resuming",
                                  std::nullopt};
     }
-    HttpResponse response{head.status, mCall.parts.calls.answerHeaders(head), std::move(*body)};
+    HttpResponse response{head.status, mCall.parts.calls.responseHeaders(head), std::move(*body)};
     if (head.status == sUnavailable) {
         response.headers.push_back(mCall.parts.calls.comeBack(retryDelayAfterRefusal()));
     }
@@ -503,7 +503,7 @@
 {
     noteResponseStarted();
     mCall.isHeadSent = true;
-    HttpResponse begin{head.status, mCall.parts.calls.answerHeaders(head), {}};
+    HttpResponse begin{head.status, mCall.parts.calls.responseHeaders(head), {}};
     co_await mCall.exchange.beginStream(std::move(begin));
 }
 
--- a/src/libloomjunction/gateway/memberservice.cpp
+++ b/src/libloomjunction/gateway/memberservice.cpp
@@ -266,12 +266,12 @@
 bool MemberService::mayRead(const std::string &key) const
 {
     const auto found = mStates.find(key);
-    const bool isBeginTime = mFeeds->isBeginTime();
+    const bool isInStartup = mFeeds->isInStartup();
     if (found == mStates.end()) {
-        return isBeginTime;
+        return isInStartup;
     }
     const GatewayState &state = found->second;
-    const bool mayLive = isBeginTime && !state.isLost && !state.isLeaving;
+    const bool mayLive = isInStartup && !state.isLost && !state.isLeaving;
     return (mayLive || isUsable(state)) && !state.hasStoreFailed;
 }
 
--- a/src/libloomjunction/gateway/ports.h
+++ b/src/libloomjunction/gateway/ports.h
@@ -110,7 +110,7 @@
     std::optional<std::uint64_t> lastEvent; ///< the caller resumes a stream behind this one
     std::string model;
     std::uint32_t promptTokens = 0;
-    std::uint32_t answerTokens = 0;
+    std::uint32_t outputTokens = 0;
 };
 
 /** Which of the requests that wait at a replica it takes first. */
@@ -149,22 +149,22 @@
     bool operator==(const RatePerSecond &) const = default;
 };
 /** What an answer says of the rate at which its replica takes requests. */
-using NamedRate = std::variant<NoRate, UnreadableRate, RatePerSecond>;
+using AdvertisedRate = std::variant<NoRate, UnreadableRate, RatePerSecond>;
 
 /** What a replica's answer says of itself. */
-struct AnswerFields
+struct ResponseFields
 {
     std::string requestId;
     std::string replicaId; ///< which replica answered; empty: it does not say
     bool isSigned = false;
     bool isNotRun = false; ///< the replica says that it did not run the request
     bool isStream = false;
-    NamedRate rate;
+    AdvertisedRate rate;
     ReplicaNotice notice;
 };
 
 /** A caller's question where to connect. */
-struct AddressQuestion
+struct AddressQuery
 {
     std::string dataCentre;
     std::string region;
@@ -178,16 +178,16 @@
     virtual CallerFields callerFields(const HttpRequest &request) const = 0;
     virtual std::vector<HttpHeader> outgoing(const HttpRequest &request,
                                              const OutgoingFields &fields) const = 0;
-    virtual AnswerFields answerFields(const LinkHead &head) const = 0;
+    virtual ResponseFields responseFields(const LinkHead &head) const = 0;
     /** The headers of a replica's answer that a caller gets: none that speak to the gateway. */
-    virtual std::vector<HttpHeader> answerHeaders(const LinkHead &head) const = 0;
+    virtual std::vector<HttpHeader> responseHeaders(const LinkHead &head) const = 0;
     /** Says when to come back. */
     virtual HttpHeader comeBack(Milliseconds after) const = 0;
 
-    virtual bool isReadyCheck(const HttpRequest &request) const = 0;
-    virtual std::optional<AddressQuestion> addressQuestion(const HttpRequest &request) const = 0;
-    virtual HttpResponse addressAnswer(std::span<const std::string> addresses,
-                                       Milliseconds lifetime) const = 0;
+    virtual bool isReadinessCheck(const HttpRequest &request) const = 0;
+    virtual std::optional<AddressQuery> addressQuery(const HttpRequest &request) const = 0;
+    virtual HttpResponse addressResponse(std::span<const std::string> addresses,
+                                         Milliseconds lifetime) const = 0;
 };
 
 /** The weights that an engine has loaded. */
@@ -204,7 +204,7 @@
     std::vector<LoadedWeights> loaded;
     std::uint64_t born = 0; ///< when it started, as it says; zero: untold
     bool isBusy = false; ///< an order is under way
-    std::uint64_t ordersTaken = 0; ///< since its start
+    std::uint64_t acceptedOrderCount = 0; ///< since its start
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint64_t memoryUsed = 0;
@@ -212,7 +212,7 @@
     double pace = 1;
 };
 
-enum class OrderAnswer : std::uint8_t
+enum class OrderResult : std::uint8_t
 {
     Begun,
     AlreadyDone,
@@ -228,10 +228,10 @@
     virtual awaitable<std::optional<EngineReport>> report(std::uint32_t layers) = 0;
     /**
      * Orders the engine to load what is staged, once all that runs has ended; it takes nothing
-     * new until then. @p ordersTaken: of the last report.
+     * new until then. @p acceptedOrderCount: of the last report.
      */
-    virtual awaitable<OrderAnswer> load(std::string model, std::uint64_t version,
-                                        std::uint64_t ordersTaken)
+    virtual awaitable<OrderResult> load(std::string model, std::uint64_t version,
+                                        std::uint64_t acceptedOrderCount)
         = 0;
     virtual awaitable<bool> stagePut(std::string model, std::uint32_t index, std::string data) = 0;
     /** Nothing where the stage does not hold the piece, or cannot be asked. */
--- a/src/libloomjunction/gateway/replicaattempt.cpp
+++ b/src/libloomjunction/gateway/replicaattempt.cpp
@@ -164,7 +164,7 @@
     const auto deadline = steadyTime(mCall.deadline + sMinTimeLeft);
     auto head = co_await mLink->exchange(outgoing, deadline);
     for (int staleCount = 0; head; ++staleCount) {
-        const AnswerFields told = mCall.parts.calls.answerFields(*head);
+        const ResponseFields told = mCall.parts.calls.responseFields(*head);
         noteNotice(told);
         const std::string &id = told.requestId;
         const bool isOwn = id == mCall.caller.id || id.empty();
@@ -181,7 +181,7 @@
 
 awaitable<tl::expected<LinkHead, AttemptOutcome>> ReplicaAttempt::classifyResponse(LinkHead head)
 {
-    const AnswerFields fields = mCall.parts.calls.answerFields(head);
+    const ResponseFields fields = mCall.parts.calls.responseFields(head);
     if (fields.isNotRun) {
         if (!fields.replicaId.empty() && fields.replicaId != mChosen.id) {
             mCall.parts.replicas.replicas().replaced(mChosen.id, now());
@@ -340,7 +340,7 @@
 
 // The absence of a rate limit counts only in good responses: an error may come from a component
 // of the replica that does not know about the limit.
-void ReplicaAttempt::noteRate(const NamedRate &rate, bool isGood)
+void ReplicaAttempt::noteRate(const AdvertisedRate &rate, bool isGood)
 {
     if (isGood || !std::holds_alternative<NoRate>(rate)) {
         mCall.parts.replicas.noteRate(mChosen.id, rate, mSentAt);
@@ -350,7 +350,7 @@
 // A notice in a response to another request says as much about the replica as one in the
 // response to this request. The replica id in the response takes precedence over the chosen one,
 // because an address may have been reassigned to another replica.
-void ReplicaAttempt::noteNotice(const AnswerFields &fields)
+void ReplicaAttempt::noteNotice(const ResponseFields &fields)
 {
     const bool isOther = !fields.replicaId.empty() && fields.replicaId != mChosen.id;
     mIncarnation.isLeaving = mIncarnation.isLeaving || (!isOther && fields.notice.isLeaving);
--- a/src/libloomjunction/gateway/replicaattempt.h
+++ b/src/libloomjunction/gateway/replicaattempt.h
@@ -122,8 +122,8 @@
     awaitable<tl::expected<LinkHead, AttemptOutcome>> classifyResponse(LinkHead head);
     AttemptOutcome outcomeOfLinkError(LinkError error) const;
     void noteFirstResponse(bool hasBegun);
-    void noteRate(const NamedRate &rate, bool isGood);
-    void noteNotice(const AnswerFields &fields);
+    void noteRate(const AdvertisedRate &rate, bool isGood);
+    void noteNotice(const ResponseFields &fields);
     /** Cancels the attempt once its weights expire, unless the request has started to run. */
     void watchWeightsExpiry();
     void stopWatchingWeightsExpiry();
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -61,7 +61,7 @@
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mFeeds->listen(Feed::Replicas, [this](const FeedChange &change) { take(change); });
-    mFeeds->passOver(Feed::Replicas, [this](const FeedRecord &known, const FeedRecord &next) {
+    mFeeds->skipUnchanged(Feed::Replicas, [this](const FeedRecord &known, const FeedRecord &next) {
         return saysTheSame(known, next);
     });
     setBounds(mSettings.bounds);
@@ -121,7 +121,7 @@
         budget.setBounds(mBounds);
     }
     mReplicas.setDrainTime(bounds.drainTime);
-    mFeeds->setReplicasPause(
+    mFeeds->setReplicasReadDelay(
         std::clamp(bounds.drainTime / sReadsWhileDraining, sLeastPause, sMostPause));
 }
 
@@ -242,7 +242,7 @@
     mReplicas.answerMissed(id, isPatient);
 }
 
-void ReplicaService::noteRate(const std::string &id, const NamedRate &rate, Instant sentAt)
+void ReplicaService::noteRate(const std::string &id, const AdvertisedRate &rate, Instant sentAt)
 {
     const LimitChange change
         = std::visit(Overload{
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -72,7 +72,7 @@
     /** Whether a request may be sent to the replica now, which may have named a limit. */
     awaitable<bool> takePermit(std::string id);
     /** What an answer of the replica to a request that was sent at @p sentAt says of its rate. */
-    void noteRate(const std::string &id, const NamedRate &rate, Instant sentAt);
+    void noteRate(const std::string &id, const AdvertisedRate &rate, Instant sentAt);
     /** Asked right before a request is sent to the replica; counts those held back. */
     UnavailableReason unavailableReason(const std::string &id);
     /** What an answer of @p life says of further requests. */
--- a/src/libloomjunction/gateway/weightstagingservice.cpp
+++ b/src/libloomjunction/gateway/weightstagingservice.cpp
@@ -551,20 +551,20 @@
         mIsLoading = false;
         co_return false;
     }
-    const std::uint64_t ordersTaken = mReport->ordersTaken;
+    const std::uint64_t acceptedOrderCount = mReport->acceptedOrderCount;
     mOrderedAt = now();
-    const OrderAnswer answer = co_await mEngine.load(model, id.version, ordersTaken);
+    const OrderResult answer = co_await mEngine.load(model, id.version, acceptedOrderCount);
     logLine(LogLevel::Info, "load-ordered",
             {{"model", model},
              {"version", id.version},
              {"answer", static_cast<int>(answer)},
-             {"ordersTaken", ordersTaken},
+             {"ordersTaken", acceptedOrderCount},
              {"running", mReport ? mReport->running : 0}});
-    if (answer == OrderAnswer::Refused) {
+    if (answer == OrderResult::Refused) {
         mIsLoading = false;
         co_await sleepFor(sRetryDelay);
     }
-    co_return answer != OrderAnswer::Refused;
+    co_return answer != OrderResult::Refused;
 }
 
 // Gateways send no more requests, and the queued ones may still start. Running requests
--- a/tests/gateway/stagingfixture.h
+++ b/tests/gateway/stagingfixture.h
@@ -46,16 +46,16 @@
         EngineReport report;
         report.loaded.push_back({"m", loaded, true});
         report.born = born;
-        report.ordersTaken = 0;
+        report.acceptedOrderCount = 0;
         co_return report;
     }
 
-    awaitable<OrderAnswer> load(std::string, std::uint64_t version, std::uint64_t) override
+    awaitable<OrderResult> load(std::string, std::uint64_t version, std::uint64_t) override
     {
         ++loadOrders;
         ordersOnIncompleteStage += stage.size() < sChunks ? 1 : 0;
         loaded = version;
-        co_return OrderAnswer::Begun;
+        co_return OrderResult::Begun;
     }
 
     awaitable<bool> stagePut(std::string, std::uint32_t index, std::string data) override
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -74,7 +74,7 @@
 
     bool knows(Feed feed, std::string_view key)
     {
-        return mKernel.find<FeedService>(FeedService::sName).book(feed).find(key) != nullptr;
+        return mKernel.find<FeedService>(FeedService::sName).table(feed).find(key) != nullptr;
     }
 
     DirectSettings settings;
--- a/tests/gateway/test_feeds.cpp
+++ b/tests/gateway/test_feeds.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
+constexpr std::chrono::seconds sTestTimeout{20};
 
 Tcp::endpoint freeEndpoint(asio::io_context &context)
 {
@@ -41,10 +41,10 @@
 }
 
 /** One process's feeds, over its own view of the store. */
-class FeedLab
+class FeedProcess
 {
 public:
-    explicit FeedLab(asio::io_context &context)
+    explicit FeedProcess(asio::io_context &context)
         : store(context.get_executor())
         , address(freeEndpoint(context))
         , mKernel(context.get_executor())
@@ -56,9 +56,10 @@
         mKernel.add(std::make_unique<FeedService>(store, "box", FeedPreference::Store));
         feeds().countInto(metrics);
         config().countInto(metrics);
-        feeds().listen(Feed::Operators, [this](const FeedChange &change) { way = change.way; });
+        feeds().listen(Feed::Operators,
+                       [this](const FeedChange &change) { origin = change.origin; });
         feeds().listen(Feed::Replicas, [this](const FeedChange &change) {
-            heard.push_back(change.record.key);
+            changedKeys.push_back(change.record.key);
             isLastTrusted = change.isTrusted;
             lastAge = change.age;
         });
@@ -72,49 +73,49 @@
     {
         return config().table() && config().table()->version() == version;
     }
-    bool hasHeard(std::string_view key) const
+    bool hasReceived(std::string_view key) const
     {
-        return std::ranges::find(heard, key) != heard.end();
+        return std::ranges::find(changedKeys, key) != changedKeys.end();
     }
 
     Metrics metrics;
     MemoryStore store;
     Tcp::endpoint address;
-    std::vector<std::string> heard;
+    std::vector<std::string> changedKeys;
     bool isLastTrusted = true;
     Microseconds lastAge{0}; ///< as the last change told it
-    RecordWay way; ///< of the last operators' record
+    RecordOrigin origin; ///< of the last operators' record
 
 private:
     Platform::Records mRecords;
     Kernel mKernel;
 };
 
-void writeConfig(FeedLab &lab, std::uint64_t version)
+void writeConfig(FeedProcess &lab, std::uint64_t version)
 {
     const std::string value = R"({"version":)" + std::to_string(version)
         + R"(,"routes":[],"services":[],"tenants":[]})";
     lab.store.write(Feed::Operators, "config", value);
 }
 
-bool hasMetric(const FeedLab &lab, std::string_view text)
+bool hasMetric(const FeedProcess &lab, std::string_view text)
 {
     return lab.metrics.text().find(text) != std::string::npos;
 }
 
 /** A reader of the store, and a follower of it whose own way to the store is another. */
-class RelayLab
+class RelayFixture
 {
 public:
-    RelayLab()
+    RelayFixture()
     {
         reader.feeds().setReaders([] { return FeedReaders{true, true, {}}; });
         follower.feeds().setReaders([this] {
-            return FeedReaders{isFollowerItselfReading, true, {followed}};
+            return FeedReaders{isFollowerReadingStore, true, {followed}};
         });
     }
 
-    void run(std::function<awaitable<void>(RelayLab &)> test)
+    void run(std::function<awaitable<void>(RelayFixture &)> test)
     {
         bool ended = false;
         const auto whole = [&]() -> awaitable<void> {
@@ -133,7 +134,7 @@
 
     awaitable<void> waitFor(std::function<bool()> condition)
     {
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!condition() && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
@@ -144,63 +145,63 @@
     awaitable<void> waitUntilFollowing()
     {
         reader.store.write(Feed::Replicas, "first", "value");
-        co_await waitFor([this] { return follower.hasHeard("first"); });
+        co_await waitFor([this] { return follower.hasReceived("first"); });
     }
 
     /** The follower ends its streams, reads its own store for a while and follows anew. */
-    awaitable<void> leaveAndComeAgain()
+    awaitable<void> reconnectFollower()
     {
         const int before = follower.store.readCount;
-        isFollowerItselfReading = true;
+        isFollowerReadingStore = true;
         co_await waitFor([&] { return follower.store.readCount >= before + 3; });
-        isFollowerItselfReading = false;
+        isFollowerReadingStore = false;
     }
 
     asio::io_context context{1};
-    FeedLab reader{context};
-    FeedLab follower{context};
+    FeedProcess reader{context};
+    FeedProcess follower{context};
     Tcp::endpoint followed = reader.address; ///< where the follower asks
-    bool isFollowerItselfReading = false;
+    bool isFollowerReadingStore = false;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_follower_learns_from_a_reader_and_asks_the_store_nothing)
+BOOST_AUTO_TEST_CASE(follower_receives_records_from_a_reader_without_reading_the_store)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         lab.follower.store.write(Feed::Replicas, "unread", "value");
         lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
-        BOOST_TEST(!lab.follower.hasHeard("unread"));
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("second"); });
+        BOOST_TEST(!lab.follower.hasReceived("unread"));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_reads_the_store_itself_once_its_reader_has_lost_it)
+BOOST_AUTO_TEST_CASE(follower_reads_the_store_when_its_reader_loses_the_store)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         lab.reader.store.isUnreachable = true;
         lab.follower.store.write(Feed::Replicas, "first", "value");
         lab.follower.store.write(Feed::Replicas, "own", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("own"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("own"); });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_reads_the_store_itself_once_its_reader_is_gone)
+BOOST_AUTO_TEST_CASE(follower_reads_the_store_when_its_reader_stops)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         lab.reader.stop();
         lab.follower.store.write(Feed::Replicas, "first", "value");
         lab.follower.store.write(Feed::Replicas, "own", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("own"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("own"); });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_removal_is_doubtful_where_the_readers_store_failed_of_late)
+BOOST_AUTO_TEST_CASE(removal_is_untrusted_after_a_recent_store_failure_of_the_reader)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         BOOST_TEST(lab.follower.isLastTrusted);
         lab.reader.store.isUnreachable = true;
@@ -208,43 +209,43 @@
         co_await lab.waitFor([&] { return !lab.reader.feeds().isStoreReached(Feed::Replicas); });
         lab.reader.store.isUnreachable = false;
         co_await lab.waitFor([&] { return lab.reader.feeds().isStoreReached(Feed::Replicas); });
-        const std::size_t before = lab.follower.heard.size();
+        const std::size_t before = lab.follower.changedKeys.size();
         lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
-        co_await lab.waitFor([&] { return lab.follower.heard.size() > before; });
+        co_await lab.waitFor([&] { return lab.follower.changedKeys.size() > before; });
         BOOST_TEST(!lab.follower.isLastTrusted);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_says_the_same_again_is_neither_told_nor_relayed)
+BOOST_AUTO_TEST_CASE(equivalent_record_is_neither_announced_nor_relayed)
 {
-    RelayLab lab;
-    lab.reader.feeds().passOver(
+    RelayFixture lab;
+    lab.reader.feeds().skipUnchanged(
         Feed::Replicas, [](const FeedRecord &known, const FeedRecord &next) {
             return known.value->front() == next.value->front(); // what follows is a heartbeat
         });
-    lab.run([](RelayLab &lab) -> awaitable<void> {
+    lab.run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         for (int beat = 0; beat < 5; ++beat) {
             lab.reader.store.write(Feed::Replicas, "r", "a" + std::to_string(beat));
         }
         lab.reader.store.write(Feed::Replicas, "r", "b0");
-        co_await lab.waitFor([&] { return std::ranges::count(lab.reader.heard, "r") == 2; });
+        co_await lab.waitFor([&] { return std::ranges::count(lab.reader.changedKeys, "r") == 2; });
         lab.reader.store.write(Feed::Replicas, "last", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("last"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("last"); });
         // Both know the newest value that means something else.
-        for (FeedLab *one : {&lab.reader, &lab.follower}) {
-            BOOST_TEST(*one->feeds().book(Feed::Replicas).all().find("r")->second.value == "b0");
+        for (FeedProcess *one : {&lab.reader, &lab.follower}) {
+            BOOST_TEST(*one->feeds().table(Feed::Replicas).all().find("r")->second.value == "b0");
         }
-        BOOST_TEST(std::ranges::count(lab.follower.heard, "r") <= 2);
+        BOOST_TEST(std::ranges::count(lab.follower.changedKeys, "r") <= 2);
         // A removal always counts.
         lab.reader.store.write(Feed::Replicas, "r", std::nullopt);
-        co_await lab.waitFor([&] { return std::ranges::count(lab.reader.heard, "r") == 3; });
+        co_await lab.waitFor([&] { return std::ranges::count(lab.reader.changedKeys, "r") == 3; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_long_record_is_relayed_in_a_fraction_of_its_bytes)
+BOOST_AUTO_TEST_CASE(long_record_is_relayed_compressed)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         const std::uint64_t before = PeerConnection::totalBytes();
         std::string text;
@@ -252,20 +253,20 @@
             text += R"({"name":"route-)" + std::to_string(route) + R"(","host":"example"},)";
         }
         lab.reader.store.write(Feed::Replicas, "long", text);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
-        const auto &book = lab.follower.feeds().book(Feed::Replicas).all();
-        BOOST_TEST((*book.find("long")->second.value == text));
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("long"); });
+        const auto &table = lab.follower.feeds().table(Feed::Replicas).all();
+        BOOST_TEST((*table.find("long")->second.value == text));
         // Counted at both ends.
         BOOST_TEST(PeerConnection::totalBytes() - before < text.size() / 2);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_reader_counts_what_it_relays_and_what_it_reads)
+BOOST_AUTO_TEST_CASE(reader_counts_relayed_and_read_bytes)
 {
-    RelayLab lab;
+    RelayFixture lab;
     lab.reader.store.write(Feed::Replicas, "old", "12345"); // 8 bytes with its key
-    lab.run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitFor([&] { return lab.reader.hasHeard("old"); });
+    lab.run([](RelayFixture &lab) -> awaitable<void> {
+        co_await lab.waitFor([&] { return lab.reader.hasReceived("old"); });
         co_await lab.waitUntilFollowing(); // 10 bytes more
         const Metrics &metrics = lab.reader.metrics;
         BOOST_TEST(metrics.counter("store_bytes", "replicas, full") == 8U);
@@ -273,7 +274,7 @@
         const std::uint64_t before = metrics.counter("peer_bytes", "follow, data centre unknown");
         const std::string text(1'000, 'x'); // too short to be compressed
         lab.reader.store.write(Feed::Replicas, "long", text);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("long"); });
         const std::uint64_t after = metrics.counter("peer_bytes", "follow, data centre unknown");
         BOOST_TEST(after - before >= text.size());
         BOOST_TEST(metrics.counter("store_bytes", "replicas, onward") == 1'014U);
@@ -281,35 +282,35 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_tells_from_where_and_over_how_many_processes_it_came)
+BOOST_AUTO_TEST_CASE(configuration_carries_its_source_and_hop_count)
 {
-    RelayLab lab;
-    FeedLab last(lab.context);
+    RelayFixture lab;
+    FeedProcess last(lab.context);
     last.feeds().setReaders([&] { return FeedReaders{false, true, {lab.follower.address}}; });
-    lab.run([&last](RelayLab &lab) -> awaitable<void> {
+    lab.run([&last](RelayFixture &lab) -> awaitable<void> {
         last.start();
         co_await lab.waitUntilFollowing();
-        co_await lab.waitFor([&] { return last.hasHeard("first"); });
+        co_await lab.waitFor([&] { return last.hasReceived("first"); });
         writeConfig(lab.reader, 1);
         co_await lab.waitFor([&] { return last.hasConfig(1); });
         last.stop();
     });
-    BOOST_TEST(lab.reader.way.from == "store");
-    BOOST_TEST(lab.reader.way.hops == 0U);
-    BOOST_TEST(lab.follower.way.from == endpointText(lab.reader.address));
-    BOOST_TEST(lab.follower.way.hops == 1U);
-    BOOST_TEST(last.way.from == endpointText(lab.follower.address));
-    BOOST_TEST(last.way.hops == 2U);
+    BOOST_TEST(lab.reader.origin.from == "store");
+    BOOST_TEST(lab.reader.origin.hops == 0U);
+    BOOST_TEST(lab.follower.origin.from == endpointText(lab.reader.address));
+    BOOST_TEST(lab.follower.origin.hops == 1U);
+    BOOST_TEST(last.origin.from == endpointText(lab.follower.address));
+    BOOST_TEST(last.origin.hops == 2U);
     BOOST_TEST(hasMetric(lab.reader, "loom_config_age_ms_count{of=\"from the store\"} 1\n"));
     BOOST_TEST(hasMetric(lab.follower, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
     BOOST_TEST(hasMetric(last, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_that_was_there_at_the_start_has_no_age)
+BOOST_AUTO_TEST_CASE(configuration_present_at_startup_reports_no_age)
 {
-    RelayLab lab;
+    RelayFixture lab;
     writeConfig(lab.reader, 1);
-    lab.run([](RelayLab &lab) -> awaitable<void> {
+    lab.run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitFor([&] { return lab.follower.hasConfig(1); });
         BOOST_TEST(lab.reader.hasConfig(1));
         BOOST_TEST(!hasMetric(lab.reader, "config_age_ms"));
@@ -322,13 +323,13 @@
 
 // With hundreds of gateways, full reads after each failure fill the links to the
 // store, and every further read fails for that.
-BOOST_AUTO_TEST_CASE(after_a_failure_the_store_is_read_from_where_the_book_ends)
+BOOST_AUTO_TEST_CASE(store_is_read_from_the_last_offset_after_a_failure)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         const int before = lab.follower.store.fullReadCount;
         lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("second"); });
         // Both stores hold the same log; the reader is gone, and the way to the
         // store breaks once.
         lab.follower.store.write(Feed::Replicas, "first", "value");
@@ -338,9 +339,9 @@
         co_await lab.waitFor([&] { return !lab.follower.feeds().isStoreReached(Feed::Replicas); });
         lab.follower.store.isUnreachable = false;
         lab.follower.store.write(Feed::Replicas, "third", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("third"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("third"); });
         BOOST_TEST(lab.follower.store.fullReadCount == before);
-        BOOST_TEST(std::ranges::count(lab.follower.heard, "second") == 1);
+        BOOST_TEST(std::ranges::count(lab.follower.changedKeys, "second") == 1);
     });
 }
 
@@ -348,32 +349,32 @@
 // but the last records. After connections had been reset, 25 `reader-lost` of one data
 // centre were followed by as many whole books over links of 27 Mbit/s, and callers'
 // requests waited behind them for 0.7 to 1.5 s.
-BOOST_AUTO_TEST_CASE(a_follower_that_comes_again_is_sent_only_what_it_lacks)
+BOOST_AUTO_TEST_CASE(reconnecting_follower_is_sent_only_missing_records)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         const std::string large = incompressible(200'000);
         lab.reader.store.write(Feed::Replicas, "large", large);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("large"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("large"); });
         const std::uint64_t before = PeerConnection::totalBytes();
-        co_await lab.leaveAndComeAgain();
+        co_await lab.reconnectFollower();
         lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("second"); });
         // Counted at both ends; large is the only long record.
         BOOST_TEST(PeerConnection::totalBytes() - before < large.size());
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_that_comes_again_learns_of_a_removal_that_a_full_read_found)
+BOOST_AUTO_TEST_CASE(reconnecting_follower_receives_a_removal_found_by_a_full_read)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
+    RelayFixture().run([](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
-        const auto book
-            = [&]() -> const FeedTable & { return lab.follower.feeds().book(Feed::Replicas); };
-        co_await lab.leaveAndComeAgain();
+        const auto table
+            = [&]() -> const FeedTable & { return lab.follower.feeds().table(Feed::Replicas); };
+        co_await lab.reconnectFollower();
         lab.reader.store.hasLostHistory = true; // the removal itself is not read
         lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
-        co_await lab.waitFor([&] { return book().find("first") == nullptr; });
+        co_await lab.waitFor([&] { return table().find("first") == nullptr; });
         BOOST_TEST(lab.follower.isLastTrusted);
     });
 }
@@ -381,54 +382,54 @@
 // Two changes of a record that come together are relayed as one. Where the second said
 // what had been known before the first, it was passed over with the offset of what was
 // known: whoever had heard of the first alone then took the older meaning for the newest.
-BOOST_AUTO_TEST_CASE(a_value_that_came_back_reaches_whoever_knows_what_came_between)
+BOOST_AUTO_TEST_CASE(restored_value_reaches_a_process_that_knows_the_intermediate_value)
 {
-    RelayLab lab;
-    const auto isSame = [](const FeedRecord &known, const FeedRecord &next) {
+    RelayFixture lab;
+    const auto isEquivalent = [](const FeedRecord &known, const FeedRecord &next) {
         return known.value->front() == next.value->front();
     };
-    FeedLab last(lab.context);
-    for (FeedLab *one : {&lab.reader, &lab.follower, &last}) {
-        one->feeds().passOver(Feed::Replicas, isSame);
+    FeedProcess last(lab.context);
+    for (FeedProcess *one : {&lab.reader, &lab.follower, &last}) {
+        one->feeds().skipUnchanged(Feed::Replicas, isEquivalent);
         one->store.write(Feed::Replicas, "r", "a0");
     }
     last.feeds().setReaders([&] { return FeedReaders{false, true, {lab.follower.address}}; });
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
+    lab.run([&](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         last.store.write(Feed::Replicas, "first", "value");
         last.store.write(Feed::Replicas, "r", "b0");
         lab.reader.store.write(Feed::Replicas, "r", "b0");
         lab.reader.store.write(Feed::Replicas, "r", "a1");
         lab.reader.store.write(Feed::Replicas, "end", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("end"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("end"); });
         last.start();
-        co_await lab.waitFor([&] { return last.hasHeard("end"); });
-        BOOST_TEST(last.feeds().book(Feed::Replicas).find("r")->value->front() == 'a');
+        co_await lab.waitFor([&] { return last.hasReceived("end"); });
+        BOOST_TEST(last.feeds().table(Feed::Replicas).find("r")->value->front() == 'a');
         last.stop();
     });
 }
 
 // A relayed change that says what is known was kept silently, while the end of the book
 // moved past it. Whoever followed and knew what came between was told that end alone.
-BOOST_AUTO_TEST_CASE(a_value_that_came_back_is_passed_on_to_whoever_knows_what_came_between)
+BOOST_AUTO_TEST_CASE(restored_value_is_relayed_to_a_follower_that_knows_the_intermediate_value)
 {
-    RelayLab lab;
-    const auto isSame = [](const FeedRecord &known, const FeedRecord &next) {
+    RelayFixture lab;
+    const auto isEquivalent = [](const FeedRecord &known, const FeedRecord &next) {
         return known.value->front() == next.value->front();
     };
-    FeedLab last(lab.context);
-    for (FeedLab *one : {&lab.reader, &lab.follower, &last}) {
-        one->feeds().passOver(Feed::Replicas, isSame);
+    FeedProcess last(lab.context);
+    for (FeedProcess *one : {&lab.reader, &lab.follower, &last}) {
+        one->feeds().skipUnchanged(Feed::Replicas, isEquivalent);
         one->store.write(Feed::Replicas, "r", "a0");
     }
     last.feeds().setReaders([&] { return FeedReaders{false, true, {lab.follower.address}}; });
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
+    lab.run([&](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         last.store.write(Feed::Replicas, "first", "value");
         last.store.write(Feed::Replicas, "r", "b0");
         last.start();
         const auto isB = [&] {
-            const FeedRecord *record = last.feeds().book(Feed::Replicas).find("r");
+            const FeedRecord *record = last.feeds().table(Feed::Replicas).find("r");
             return record != nullptr && record->value->front() == 'b';
         };
         co_await lab.waitFor(isB);
@@ -442,27 +443,27 @@
 
 // A reader that began after a removal does not know of it. Whoever holds the record and
 // followed was told how far the reader's book reaches, and kept the record for good.
-BOOST_AUTO_TEST_CASE(a_follower_learns_of_a_removal_that_its_reader_never_saw)
+BOOST_AUTO_TEST_CASE(follower_learns_of_a_removal_that_its_reader_never_read)
 {
-    RelayLab lab;
+    RelayFixture lab;
     lab.reader.store.write(Feed::Replicas, "gone", "value");
     lab.reader.store.write(Feed::Replicas, "gone", std::nullopt);
     lab.reader.store.write(Feed::Replicas, "kept", "value");
     lab.follower.store.write(Feed::Replicas, "gone", "value");
-    lab.run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("kept"); });
+    lab.run([](RelayFixture &lab) -> awaitable<void> {
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("kept"); });
         co_await lab.waitFor(
-            [&] { return lab.follower.feeds().book(Feed::Replicas).find("gone") == nullptr; });
+            [&] { return lab.follower.feeds().table(Feed::Replicas).find("gone") == nullptr; });
     });
 }
 
 // What cannot be read may be the only word of a change: it must not count as known.
-BOOST_AUTO_TEST_CASE(a_relayed_record_that_cannot_be_read_is_read_from_the_store)
+BOOST_AUTO_TEST_CASE(unreadable_relayed_record_is_read_from_the_store)
 {
     asio::io_context context{1};
     bool wasSent = false;
     PeerServer damaging(context.get_executor(), [&](PeerStreamPtr stream) -> awaitable<void> {
-        const auto deadline = std::chrono::steady_clock::now() + sGenerous;
+        const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
         const auto request = co_await stream->receiveMessage<wire::FollowRequest>(deadline);
         wire::FollowUpdate update;
         wire::RelayedRecord &record = *update.add_records();
@@ -476,23 +477,23 @@
         wasSent = wasSent || (request && *request && (*request)->feed() == replicas);
     });
     BOOST_REQUIRE(damaging.listen(Tcp::endpoint(asio::ip::address_v4::loopback(), 0)).has_value());
-    FeedLab follower(context);
+    FeedProcess follower(context);
     follower.feeds().setReaders([&] {
         return FeedReaders{false, true, {damaging.localEndpoint()}};
     });
     follower.store.write(Feed::Replicas, "first", "value");
     const auto test = [&]() -> awaitable<void> {
         follower.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!wasSent && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         BOOST_TEST(wasSent);
         follower.store.write(Feed::Replicas, "changed", "value");
-        while (!follower.hasHeard("changed") && std::chrono::steady_clock::now() < until) {
+        while (!follower.hasReceived("changed") && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        BOOST_TEST(follower.hasHeard("changed"));
+        BOOST_TEST(follower.hasReceived("changed"));
         follower.stop();
         damaging.stopListening();
         context.stop();
@@ -505,18 +506,18 @@
 // accepted, where 3.0 s are allowed, and took its knowledge for fresh. Updates between
 // data centres had been on their way for 0.7 to 1.6 s, and their age was counted from
 // their arrival. Knowledge that was on its way is at least as old as that.
-BOOST_AUTO_TEST_CASE(what_was_held_on_its_way_to_a_follower_is_not_fresh)
+BOOST_AUTO_TEST_CASE(transit_delay_to_a_follower_counts_into_the_age)
 {
-    RelayLab lab;
+    RelayFixture lab;
     const Milliseconds responseDelay{500};
-    DelayingProxy way(lab.context.get_executor(), lab.reader.address, responseDelay);
-    lab.followed = way.address();
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
+    DelayingProxy proxy(lab.context.get_executor(), lab.reader.address, responseDelay);
+    lab.followed = proxy.address();
+    lab.run([&](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         lab.follower.store.isUnreachable = true;
         const Instant lost = now();
         lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("second"); });
         BOOST_TEST((*lab.follower.feeds().age(Feed::Replicas) >= responseDelay));
         BOOST_TEST((lab.follower.lastAge >= responseDelay));
         // Later knowledge came over the same way, and does come.
@@ -531,45 +532,45 @@
 // A compressed configuration of some 40 KB needs several turns of the stream's window. On
 // a way of 400 ms it took longer than a silence may last, was asked for anew every 1.4 s
 // and never came, while its bytes filled that way (455 KB in 8 s, counted at both ends).
-BOOST_AUTO_TEST_CASE(an_update_that_is_arriving_is_no_silence)
+BOOST_AUTO_TEST_CASE(update_in_transfer_does_not_time_out)
 {
-    RelayLab lab;
-    DelayingProxy way(lab.context.get_executor(), lab.reader.address, Milliseconds(400));
-    lab.followed = way.address();
+    RelayFixture lab;
+    DelayingProxy proxy(lab.context.get_executor(), lab.reader.address, Milliseconds(400));
+    lab.followed = proxy.address();
     std::mt19937 random(1);
     std::string text;
     for (int byte = 0; byte < 60'000; ++byte) {
         text += static_cast<char>(random() % 256); // nothing that compresses
     }
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
+    lab.run([&](RelayFixture &lab) -> awaitable<void> {
         co_await lab.waitUntilFollowing();
         lab.follower.store.isUnreachable = true;
         lab.reader.store.write(Feed::Replicas, "long", text);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
+        co_await lab.waitFor([&] { return lab.follower.hasReceived("long"); });
     });
 }
 
 // The same between the store and whoever reads it: an answer tells what the store held
 // when it looked, which may be long before the answer comes.
-BOOST_AUTO_TEST_CASE(a_record_is_as_old_as_its_way_from_the_store)
+BOOST_AUTO_TEST_CASE(delay_of_the_store_response_counts_into_the_record_age)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     const Milliseconds responseDelay{1'400};
     // Most of a read's wait may have passed before the record came, but no more is known.
     const Milliseconds leastAge{900};
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!reader.feeds().age(Feed::Replicas) && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         reader.store.responseDelay = responseDelay;
         reader.store.write(Feed::Replicas, "late", "value");
-        while (!reader.hasHeard("late") && std::chrono::steady_clock::now() < until) {
+        while (!reader.hasReceived("late") && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        BOOST_TEST(reader.hasHeard("late"));
+        BOOST_TEST(reader.hasReceived("late"));
         BOOST_TEST((reader.lastAge >= leastAge));
         reader.stop();
         context.stop();
@@ -578,16 +579,16 @@
     context.run();
 }
 
-BOOST_AUTO_TEST_CASE(what_the_store_said_is_as_old_as_its_look)
+BOOST_AUTO_TEST_CASE(feed_age_counts_from_the_lookup_in_the_store)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     const Milliseconds responseDelay{300};
     reader.store.responseDelay = responseDelay;
     reader.store.write(Feed::Replicas, "first", "value");
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         int seen = 0;
         while (seen < 200 && std::chrono::steady_clock::now() < until) {
             if (seen == 100) {
@@ -599,7 +600,7 @@
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         BOOST_TEST(seen == 200);
-        BOOST_TEST(reader.hasHeard("second"));
+        BOOST_TEST(reader.hasReceived("second"));
         reader.stop();
         context.stop();
     };
@@ -609,16 +610,16 @@
 
 // A process that could not read the store for seconds took what it then read for new:
 // a bound that runs from a record's acceptance would have run from its arrival.
-BOOST_AUTO_TEST_CASE(what_is_read_after_an_outage_may_be_as_old_as_the_outage)
+BOOST_AUTO_TEST_CASE(record_read_after_an_outage_has_the_age_of_the_outage)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     reader.feeds().setReaders([] { return FeedReaders{true, true, {}}; });
     const Milliseconds outage{2'000};
     const Milliseconds longestRead{600};
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         const auto waitFor = [&](auto condition) -> awaitable<void> {
             while (!condition() && std::chrono::steady_clock::now() < until) {
                 co_await sleepFor(std::chrono::milliseconds(5));
@@ -630,7 +631,7 @@
         co_await waitFor([&] { return *reader.feeds().age(Feed::Replicas) >= outage; });
         reader.store.write(Feed::Replicas, "first", "value");
         reader.store.isUnreachable = false;
-        co_await waitFor([&] { return reader.hasHeard("first"); });
+        co_await waitFor([&] { return reader.hasReceived("first"); });
         BOOST_TEST((reader.lastAge >= outage - longestRead));
         reader.stop();
         context.stop();
@@ -641,14 +642,14 @@
 
 // One read gives so many bytes at most. What lies behind them was accepted, too, so a
 // part of it must not count as all.
-BOOST_AUTO_TEST_CASE(a_part_of_what_the_store_holds_is_not_fresh)
+BOOST_AUTO_TEST_CASE(partial_read_does_not_refresh_the_feed)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     reader.store.maxRecordsPerRead = 1;
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!reader.feeds().age(Feed::Replicas) && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
@@ -656,12 +657,12 @@
         for (const char *key : {"first", "second", "last"}) {
             reader.store.write(Feed::Replicas, key, "value");
         }
-        while (!reader.hasHeard("last") && std::chrono::steady_clock::now() < until) {
+        while (!reader.hasReceived("last") && std::chrono::steady_clock::now() < until) {
             const Microseconds since = now() - accepted;
             BOOST_TEST((*reader.feeds().age(Feed::Replicas) >= since));
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        BOOST_TEST(reader.hasHeard("last"));
+        BOOST_TEST(reader.hasReceived("last"));
         reader.stop();
         context.stop();
     };
--- a/tests/gateway/test_gateway.cpp
+++ b/tests/gateway/test_gateway.cpp
@@ -328,7 +328,7 @@
         BOOST_TEST(missing->status == 404);
         fixture.writeConfig(4); // an older version that arrives late
         co_await fixture.waitFor(
-            [&] { return fixture.feeds().book(Feed::Operators).nextOffset() == 2; });
+            [&] { return fixture.feeds().table(Feed::Operators).nextOffset() == 2; });
         BOOST_TEST(fixture.config().table()->version() == 5U);
         fixture.writeConfig(6);
         co_await fixture.waitFor([&] { return fixture.config().table()->version() == 6; });
--- a/tests/platform/test_calls.cpp
+++ b/tests/platform/test_calls.cpp
@@ -88,7 +88,7 @@
     BOOST_TEST(fields.deadline->count() == 6000);
     BOOST_TEST(*fields.lastEvent == 12U);
     BOOST_TEST(fields.promptTokens == 1460U);
-    BOOST_TEST(fields.answerTokens == 80U);
+    BOOST_TEST(fields.outputTokens == 80U);
     const CallerFields doubled = calls.callerFields(request({{"Loomjunction-Request-Id", "id1"},
                                                              {"loomjunction-request-id", "id2"},
                                                              {"Loomjunction-Deadline-Ms", "soon"},
@@ -105,23 +105,23 @@
         LinkHead head;
         head.status = 200;
         head.headers = std::move(headers);
-        return calls.answerFields(head).rate;
+        return calls.responseFields(head).rate;
     };
     const auto isRate = [&](std::string_view text, double rate) {
-        return rateOf({{"server-limit", std::string(text)}}) == NamedRate(RatePerSecond{rate});
+        return rateOf({{"server-limit", std::string(text)}}) == AdvertisedRate(RatePerSecond{rate});
     };
     BOOST_TEST(isRate("2.3", 2.3));
     BOOST_TEST(isRate("50", 50));
     BOOST_TEST(isRate("0", 0));
-    BOOST_TEST((rateOf({{"X-Other", "2.3"}}) == NamedRate(NoRate{})));
+    BOOST_TEST((rateOf({{"X-Other", "2.3"}}) == AdvertisedRate(NoRate{})));
     for (const auto *text : {"", "-1", "nan", "inf", "1e3", "2,3", "2.3/s", "99999999999", "0x2",
                              "99999999999999999999999999999999999999999999999999999999999"}) {
-        BOOST_TEST((rateOf({{"Server-Limit", text}}) == NamedRate(UnreadableRate{})), text);
+        BOOST_TEST((rateOf({{"Server-Limit", text}}) == AdvertisedRate(UnreadableRate{})), text);
     }
-    BOOST_TEST(
-        (rateOf({{"Server-Limit", "2"}, {"Server-Limit", "2"}}) == NamedRate(RatePerSecond{2})));
-    BOOST_TEST(
-        (rateOf({{"Server-Limit", "2"}, {"Server-Limit", "3"}}) == NamedRate(UnreadableRate{})));
+    BOOST_TEST((rateOf({{"Server-Limit", "2"}, {"Server-Limit", "2"}})
+                == AdvertisedRate(RatePerSecond{2})));
+    BOOST_TEST((rateOf({{"Server-Limit", "2"}, {"Server-Limit", "3"}})
+                == AdvertisedRate(UnreadableRate{})));
 }
 
 namespace {
@@ -131,7 +131,7 @@
     LinkHead head;
     head.status = status;
     head.headers = std::move(headers);
-    return Platform::Calls().answerFields(head).notice;
+    return Platform::Calls().responseFields(head).notice;
 }
 
 } // namespace
@@ -184,22 +184,22 @@
     LinkHead head;
     head.status = 503;
     head.headers = {{"Loomjunction-Not-Executed", "1"}};
-    BOOST_TEST(calls.answerFields(head).isNotRun);
+    BOOST_TEST(calls.responseFields(head).isNotRun);
     head.headers.clear();
-    BOOST_TEST(!calls.answerFields(head).isNotRun);
+    BOOST_TEST(!calls.responseFields(head).isNotRun);
     head.status = 421;
-    BOOST_TEST(calls.answerFields(head).isNotRun);
+    BOOST_TEST(calls.responseFields(head).isNotRun);
     head.status = 200;
     head.headers = {{"Content-Type", "text/event-stream"},
                     {"Loomjunction-Request-Id", "id1"},
                     {"Loomjunction-Response-Signature", "s"},
                     {"Connection", "close"},
                     {"Keep-Alive", "timeout=5"}};
-    const AnswerFields fields = calls.answerFields(head);
+    const ResponseFields fields = calls.responseFields(head);
     BOOST_TEST(fields.isStream);
     BOOST_TEST(fields.isSigned);
     BOOST_TEST(fields.requestId == "id1");
-    const auto passed = calls.answerHeaders(head);
+    const auto passed = calls.responseHeaders(head);
     BOOST_TEST(valueOf(passed, "Loomjunction-Response-Signature") == "[s]");
     BOOST_TEST(valueOf(passed, "Connection").empty());
     BOOST_TEST(valueOf(passed, "Keep-Alive").empty());
@@ -211,13 +211,13 @@
     HttpRequest question;
     question.method = "GET";
     question.target = "/resolve?name=h.example&region=r1&zone=z1";
-    BOOST_TEST(calls.addressQuestion(question)->dataCentre == "z1");
-    BOOST_TEST(!calls.isReadyCheck(question));
+    BOOST_TEST(calls.addressQuery(question)->dataCentre == "z1");
+    BOOST_TEST(!calls.isReadinessCheck(question));
     question.target = "/ready";
-    BOOST_TEST(calls.isReadyCheck(question));
-    BOOST_TEST(!calls.addressQuestion(question).has_value());
+    BOOST_TEST(calls.isReadinessCheck(question));
+    BOOST_TEST(!calls.addressQuery(question).has_value());
     const std::vector<std::string> addresses{"10.1.0.40:8005"};
-    const HttpResponse answer = calls.addressAnswer(addresses, Milliseconds(1'500));
+    const HttpResponse answer = calls.addressResponse(addresses, Milliseconds(1'500));
     BOOST_TEST(answer.body.find(R"("addresses":["10.1.0.40:8005"])") != std::string::npos);
     BOOST_TEST(calls.comeBack(Milliseconds(1'250)).value == "1.250");
 }
--- a/tests/platform/test_records.cpp
+++ b/tests/platform/test_records.cpp
@@ -104,7 +104,7 @@
         16);
     BOOST_TEST(!part->loaded.front().isWhole);
     BOOST_TEST(part->isBusy);
-    BOOST_TEST(part->ordersTaken == 3U);
+    BOOST_TEST(part->acceptedOrderCount == 3U);
     const auto whole = Platform::parseReport(
         R"({"models":[{"name":"m","version":2}],"running":2,"layers":[
             {"from":8,"target_version":16,"version":2},{"from":0,"target_version":8,"version":2}]})",
@@ -268,7 +268,7 @@
     BOOST_TEST(report->waiting == 0U);
     BOOST_TEST(report->pace == 1);
     BOOST_TEST(report->memoryUsed == 0U);
-    BOOST_TEST(report->ordersTaken == 0U);
+    BOOST_TEST(report->acceptedOrderCount == 0U);
     BOOST_TEST(report->born == 0U);
     for (const LoadedWeights &loaded : report->loaded) {
         BOOST_TEST(!(loaded.isWhole && loaded.version > 1));
