--- a/src/libloomjunction/gateway/feedservice.cpp
+++ b/src/libloomjunction/gateway/feedservice.cpp
@@ -30,73 +30,78 @@
 namespace {
 
 constexpr std::string_view sFollowPath = "/follow";
-// A call to the store has a price, and one that is under way tells of a lost
-// store only when it should have come back: each wait is that trade.
+// Timeouts of the long polls of the store. Each call to the store has a cost, but a lost
+// store is noticed only when a pending call should have returned: each timeout trades one
+// against the other.
 constexpr Milliseconds sMaxOperatorsPollTimeout{2'000};
 constexpr Milliseconds sMinOperatorsPollTimeout{200};
 constexpr Milliseconds sReplicasPollTimeout{2'000};
 constexpr Milliseconds sMembersPollTimeout{8'000};
-// Records that come close together are read in one call.
+// Delays after a read that found records, so that records written in quick succession are
+// read in one call.
 constexpr Milliseconds sOperatorsReadDelay{20};
 constexpr Milliseconds sMembersReadDelay{150};
 constexpr Milliseconds sMinRetryDelay{100};
 constexpr Milliseconds sMaxRetryDelay{400};
-// A follower asks this often how old the other's knowledge is, and a silence is
-// longer. Whoever follows a reader learns nothing while that stands still, and
-// draining replicas must not be used for two seconds: half of that is for noticing.
+// A follower queries the age of its peer's data at this interval, and drops a peer that sends
+// nothing for the timeout. A follower of a stalled reader receives no changes, and draining
+// replicas must not be used for more than two seconds: half of that is for detection.
 constexpr Milliseconds sRelayQueryInterval{300};
 constexpr Milliseconds sRelayTimeout{900};
-// A process that asks nothing for so long is lost, and nothing is kept for it.
+// A follower that sends no query for this time is considered lost, and its state is dropped.
 constexpr std::chrono::milliseconds sFollowerTimeout{3'000};
-// A reader with followers asks the store this often whether all is well, and a
-// follower leaves one whose last answer is older. The age told by one that follows the
-// reader is the wait, a question's turn and two ways at most.
+// A reader with followers polls the store at least this often, and a follower leaves a
+// reader whose data is older than the maximum age. The age that a follower of the reader
+// reports is at most the poll timeout, a query interval and two transit times.
 constexpr Milliseconds sRelayedPollTimeout{500};
 constexpr Milliseconds sMaxRelayedAge{1'000};
-// A read that came back early tells only what was there when it was asked, so the next
-// one is shorter, by as much as the knowledge is old; each call to the store has a price.
+// A read that returned early shows the state of the store only at the time of the request, so
+// the next poll is shortened by the age of the data. The minimum bounds the number of calls,
+// since each call to the store has a cost.
 constexpr Milliseconds sMinPollTimeout{50};
-// Members tell each other of their state; their records need not be as fresh.
+// Members also exchange their state directly, so their records need not be as fresh.
 constexpr Milliseconds sRelayedMembersPollTimeout{2'500};
 constexpr Milliseconds sMaxRelayedMembersAge{4'000};
-// While a peer is followed, the store is tried again after this time.
+// Time for which a peer is followed as a fallback before the store is tried again.
 constexpr Milliseconds sFallbackFollowDuration{1'000};
-// Following a peer by choice, the store is not tried at all for this long.
+// Time for which a preferred peer is followed before the source is chosen anew.
 constexpr Milliseconds sPreferredFollowDuration{30'000};
+// Delay between two unsolicited updates, so that changes are relayed in batches.
 constexpr Milliseconds sRelayBatchDelay{10};
-// Shorter values gain little, and would be compressed for each change of theirs.
+// Shorter values gain little from compression, which would run for each of their changes.
 constexpr std::size_t sMinCompressedSize = std::size_t{4} * 1024;
-// Many times what the platform's store takes for one record.
+// Many times the size of the largest record that the platform's store accepts.
 constexpr std::size_t sMaxValueSize = std::size_t{16} * 1024 * 1024;
-// A follower that takes nothing for so long is lost; a large configuration needs
-// some hundred milliseconds on the narrowest links.
+// A follower that does not receive a sent update within this time is considered lost. A large
+// configuration needs some hundred milliseconds on the narrowest links.
 constexpr std::chrono::milliseconds sFollowerSendTimeout{3'000};
-// The store's word that a record is gone counts only when it was well for so long.
+// A removal read from the store is trusted only if no store read failed for this time.
 constexpr Milliseconds sStoreFailureWindow{3'000};
-// Whose reads failed more lately does not read for others, if anybody else can.
+// A process with a store failure within this time does not read for others if another can.
 constexpr Milliseconds sReaderFailureWindow{5'000};
-// A process that begins waits so long for others that read before it, and for each of
-// them. Longer than they need for a full read (0.4 MB, 0.2 s over 27 Mbit/s, reckoned),
-// and so short that a begin without them still ends in good time.
+// Time that a starting process waits for all processes that read before it, and for each one
+// of them. Both are longer than a full read (0.4 MB, calculated as 0.2 s over 27 Mbit/s), and
+// short enough for a timely startup without them.
 constexpr Milliseconds sStartupTimeout{2'000};
 constexpr Milliseconds sStartupReaderTimeout{1'000};
 constexpr std::chrono::milliseconds sRequestTimeout{2'000};
-// A record may have been written at any time since the feed was last known to be
-// complete. So much of that counts as the read's quiet wait; bounds on weights leave room
-// for as much.
+// A record may have been written at any time since the feed was last known to be complete.
+// Up to this much of that time is attributed to the wait of the poll and left out of the
+// record's age; the time limits for weights allow for this difference.
 constexpr Milliseconds sMaxPollTimeDiscount{400};
-// Of records that were there at the first read: long ago, as far as is known.
+// Age of records that existed at the first read. The actual age is unknown, so a long time is
+// assumed.
 constexpr Microseconds sUnknownAge = std::chrono::hours(24);
 
-// Orders the records of one key. A removal may share its offset with the record that it
-// takes away.
+// Orders the records of one key. A removal may have the same offset as the record that it
+// removes.
 std::uint64_t recordRank(const FeedRecord &record)
 {
     return record.offset * 2 + (record.value ? 1 : 2);
 }
 
-// Whoever knows all before an offset may miss a removal that a full read gave the
-// offset of the last record before it.
+// A process that knows all records before an offset may still miss a removal to which a full
+// read gave the offset of the last record before it.
 std::uint64_t lastKnownRank(std::uint64_t knownBefore)
 {
     return knownBefore == 0 ? 0 : knownBefore * 2 - 1;
@@ -146,13 +151,14 @@
     wakeAllFollowers();
 }
 
-// Once it knows everything: until then a gateway waits for no more than sStartupTimeout.
+// A process is a follower only once its feed is synced. Until then, a gateway waits for other
+// readers for at most sStartupTimeout.
 bool FeedService::isFollower(Feed feed) const
 {
     return mReaders && state(feed).isSynced && !mReaders().isReader;
 }
 
-// The store failed of late, or the process that is followed says that its did.
+// Whether the store failed recently, here or at the followed process.
 bool FeedService::isStoreDoubtful(Feed feed) const
 {
     const FeedState &state = this->state(feed);
@@ -168,9 +174,9 @@
     });
 }
 
-void FeedService::setOperatorsPollTimeout(Milliseconds wait)
+void FeedService::setOperatorsPollTimeout(Milliseconds timeout)
 {
-    mOperatorsPollTimeout = std::clamp(wait, sMinOperatorsPollTimeout, sMaxOperatorsPollTimeout);
+    mOperatorsPollTimeout = std::clamp(timeout, sMinOperatorsPollTimeout, sMaxOperatorsPollTimeout);
 }
 
 Milliseconds FeedService::pollTimeout(Feed feed) const
@@ -191,7 +197,7 @@
     return sMembersPollTimeout;
 }
 
-// The knowledge of a feed in use is at most about pollTimeout() old, whatever was found.
+// Keeps the age of a feed in use at or below about pollTimeout(), also when reads find records.
 Milliseconds FeedService::nextPollTimeout(Feed feed) const
 {
     const Milliseconds maxDuration = pollTimeout(feed);
@@ -202,15 +208,16 @@
     return std::clamp(maxDuration - known, std::min(sMinPollTimeout, maxDuration), maxDuration);
 }
 
-// Of records that a read gave just now: the store may have taken them at any time since
-// the feed was last complete. Most come while the read waits, so its wait is left out.
+// Age of records that have just been read. The store may have accepted them at any time since
+// the feed was last complete. Most are written while the read waits, so up to
+// sMaxPollTimeDiscount of the wait is subtracted.
 Microseconds FeedService::ageOfRead(Feed feed, Milliseconds wait) const
 {
     return std::max(Microseconds(0),
                     age(feed).value_or(sUnknownAge) - std::min(wait, sMaxPollTimeDiscount));
 }
 
-// Between two reads that found something.
+// Delay between a read that found records and the next read.
 Milliseconds FeedService::readDelay(Feed feed) const
 {
     switch (feed) {
@@ -239,8 +246,9 @@
     completeAt = std::max(completeAt.value_or(at), at);
 }
 
-// An agent none of whose seeds answers learns the members from the store at last, and
-// who is near from them: all agents reading the large feeds then would fill the links.
+// An agent that reaches none of its seeds eventually reads the members from the store, which
+// tell it the nearby gateways. The later deadline gives it time to follow one of them: if all
+// agents read the large feeds from the store at that point, they would saturate the links.
 Instant FeedService::startupDeadline(Feed feed) const
 {
     const bool needsMembers = mPreference == FeedPreference::Peers && feed != Feed::Members;
@@ -252,16 +260,17 @@
     return !mStopped && !state(feed).isSynced && now() < startupDeadline(feed);
 }
 
-// For the store or for another process: neither has failed it yet.
+// Whether the first data, from the store or a peer, can still be expected: no store read has
+// failed.
 bool FeedService::isAwaitingData(Feed feed) const
 {
     const FeedState &state = this->state(feed);
     return !state.isSynced && !state.hasStoreFailed;
 }
 
-// Where many begin together, each would ask the store for the large feeds in full, and
-// their answers fill the links that callers use. The members' feed is small and tells
-// who reads first.
+// When many processes start together, each would read the large feeds in full from the store,
+// and the responses would saturate the links that callers use. The members' feed is small, is
+// read at once, and determines who reads first.
 awaitable<void> FeedService::startUp(Feed feed)
 {
     const bool knowsOthers = mReaders || mPeers;
@@ -281,11 +290,12 @@
     }
 }
 
-// An agent asks gateways alone; one that does not answer may only begin a moment later.
+// During startup, an agent reads from gateways only. One that does not respond may just be
+// starting a moment later, so it is tried again.
 awaitable<void> FeedService::startUpFromPeers(Feed feed)
 {
     if (feed != Feed::Members) {
-        co_await waitForMembers(feed); // they tell which gateways are near
+        co_await waitForMembers(feed); // the members tell which gateways are near
     }
     while (isStartingUp(feed) && !mPeers().empty()) {
         co_await readPeer(feed);
@@ -307,7 +317,8 @@
     }
 }
 
-// Follows whoever reads before this gateway by plan; false when it is its own turn.
+// Follows the processes that are planned to read before this gateway; returns false when it is
+// this gateway's turn to read the store.
 awaitable<bool> FeedService::followEarlierReaders(Feed feed)
 {
     if (!mReaders) {
@@ -330,7 +341,7 @@
 
 awaitable<void> FeedService::follow(Feed feed)
 {
-    co_await sleepFor(Milliseconds(0)); // the services that start after this one listen
+    co_await sleepFor(Milliseconds(0)); // lets services that start after this one add listeners
     co_await startUp(feed);
     while (!mStopped) {
         bool hasSucceeded = false;
@@ -348,12 +359,13 @@
     }
 }
 
-// Reads on until the store fails; false when it gave nothing at all.
+// Reads until the store fails, or once where that is enough; returns false if no read
+// succeeded.
 awaitable<bool> FeedService::readStore(Feed feed)
 {
     FeedState &state = this->state(feed);
     bool hasRead = false;
-    // A process that prefers its peers uses the store for one read at a time.
+    // A process that prefers its peers tries them again after each read of the store.
     const bool isSingleRead = mPreference == FeedPreference::Peers;
     while (!mStopped) {
         if (!state.isSynced) {
@@ -369,9 +381,9 @@
         if (!batch) {
             updateStoreState(feed, batch.error() == StoreError::Forgotten,
                              storeErrorName(batch.error()));
-            // Whatever was missed is read from where the book ends: a full read after
-            // each failure asks for everything again just when the way to the store is
-            // worst, from every gateway at once.
+            // Missed records are read from the end of the table. A full read after each
+            // failure would transfer everything again, for every gateway at once, just when
+            // the connection to the store is at its worst.
             if (batch.error() == StoreError::Forgotten) {
                 state.isSynced = false;
                 continue;
@@ -386,8 +398,8 @@
             apply(feed, record, age);
         }
         state.table.setNextOffset(batch->next);
-        // The answer may have been on its way for long: the store looked at the question
-        // at the earliest, or after the wait if it found nothing in all of it.
+        // The response may have been in transit for long. It shows the store as of the time of
+        // the request, or as of the end of the wait if nothing was found during all of it.
         const bool hasFound = !batch->records.empty();
         state.hasReturnedEarly = hasFound || now() < asked + wait;
         if (!batch->hasMore) {
@@ -416,7 +428,7 @@
     }
     updateStoreState(feed, true, "full read");
     countRead(feed, "full", batch->bytes);
-    // How long ago old records were written is not known at the first read.
+    // At the first read, it is unknown when the records were written.
     const LoopStep step("taking a full read");
     const Microseconds age = state.isFirstSync ? sUnknownAge : ageOfRead(feed, Milliseconds(0));
     for (const std::string &key : state.table.applySnapshot(batch->records, batch->next)) {
@@ -433,20 +445,21 @@
     co_return true;
 }
 
-void FeedService::updateStoreState(Feed feed, bool reached, std::string_view why)
+void FeedService::updateStoreState(Feed feed, bool isReached, std::string_view reason)
 {
     FeedState &state = this->state(feed);
-    if (!reached) {
+    if (!isReached) {
         state.hasStoreFailed = true;
         state.storeFailedAt = now();
-        mChanged->notify(); // others may wait for what it would have read
+        mChanged->notify(); // other feeds may wait for the data of this one
     }
-    if (state.isStoreReached == reached) {
+    if (state.isStoreReached == isReached) {
         return;
     }
-    state.isStoreReached = reached;
-    logLine(reached ? LogLevel::Info : LogLevel::Warning, reached ? "store-regained" : "store-lost",
-            {{"feed", feedName(feed)}, {"why", why}, {"offset", state.table.nextOffset()}});
+    state.isStoreReached = isReached;
+    logLine(isReached ? LogLevel::Info : LogLevel::Warning,
+            isReached ? "store-regained" : "store-lost",
+            {{"feed", feedName(feed)}, {"why", reason}, {"offset", state.table.nextOffset()}});
 }
 
 void FeedService::countRead(Feed feed, std::string_view kind, std::uint64_t bytes)
@@ -457,8 +470,8 @@
     }
 }
 
-// Replicas write every second or so that they are alive. With hundreds of them,
-// relaying that to every process would take more of a box than all else.
+// Replicas write a heartbeat about every second. With hundreds of replicas, relaying these
+// records to every process would load a box more than everything else it does.
 bool FeedService::isUnchanged(Feed feed, const FeedRecord &record) const
 {
     const FeedState &state = this->state(feed);
@@ -482,14 +495,14 @@
     notifyListeners(feed, record, age);
 }
 
-// Changes that came together are relayed as the last of them. One that says what is
-// known may have had another between: its offset must be kept, or whoever heard of the
-// other would never learn that it holds no more.
+// Changes of a record in quick succession are relayed as the last one only. A record that is
+// equivalent to the known one may thus have replaced a different value: its offset must be
+// stored, or a process that knows the other value would never learn that it is outdated.
 void FeedService::applyRelayed(Feed feed, const FeedRecord &record, Microseconds age,
                                RecordOrigin origin)
 {
     if (isUnchanged(feed, record)) {
-        // Followers of this process may know what came between.
+        // Followers of this process may know the intermediate value.
         state(feed).changeCount += state(feed).table.apply(record) ? 1 : 0;
         return;
     }
@@ -506,14 +519,15 @@
     }
 }
 
-// Follows one entry for a while; false when it could not be reached or went silent.
+// Follows one peer for a limited time; returns false if it could not be reached or stopped
+// responding.
 awaitable<bool> FeedService::readPeer(Feed feed)
 {
     const std::vector<Tcp::endpoint> peers = mPeers ? mPeers() : std::vector<Tcp::endpoint>();
     if (peers.empty()) {
         co_return false;
     }
-    // The first ones are near; a failure moves on, and a good turn starts over.
+    // The peers are ordered by distance. A failure selects the next one, a success the first.
     const Tcp::endpoint &address = peers[mPeerIndex % peers.size()];
     const bool isPreferred = mPreference == FeedPreference::Peers;
     const bool hasSucceeded = co_await followPeer(
@@ -522,15 +536,15 @@
     co_return hasSucceeded;
 }
 
-// Follows one of those that read the store, until it stands still or its own
-// knowledge grows old; the store itself is read then.
+// Follows one of the readers of the store until it stalls or its data becomes too old; the
+// caller then reads the store itself.
 awaitable<bool> FeedService::followReader(Feed feed)
 {
     const std::vector<Tcp::endpoint> readers = mReaders().others;
     if (readers.empty()) {
         co_return false;
     }
-    // Followers spread over the readers, and turn to another after each failure.
+    // The hash spreads the followers over the readers; each failure selects another reader.
     const std::size_t own = std::hash<std::string>()(mBox);
     const Tcp::endpoint &address = readers[(own + mPeerIndex) % readers.size()];
     const bool hasSucceeded = co_await followPeer(feed, address, sPreferredFollowDuration);
@@ -542,7 +556,7 @@
     co_return hasSucceeded;
 }
 
-// False when the peer could not be reached, went silent, or knows nothing new itself.
+// Returns false if the peer could not be reached, stopped responding, or has outdated data.
 awaitable<bool> FeedService::followPeer(Feed feed, Tcp::endpoint address, Milliseconds maxDuration)
 {
     const PeerStreamPtr stream = co_await mHub->open(address, std::string(sFollowPath));
@@ -563,9 +577,9 @@
     std::uint64_t bytes = 0;
     bool hasReceived = false;
     while (!mStopped && now() < until) {
-        // A long update needs several turns of the stream's window. Asked for anew while
-        // it arrives, it would never come and fill the way; its sender ends what takes
-        // too long.
+        // A long update needs several round trips of the stream's window. If it were requested
+        // again while it arrives, it would never complete and would saturate the link. Received
+        // bytes therefore count as a response; the sender ends transfers that take too long.
         if (stream->bytesIn() != bytes) {
             bytes = stream->bytesIn();
             lastReceivedAt = now();
@@ -579,7 +593,7 @@
         const auto deadline = steadyTime(std::min(timeoutAt, lastQueryAt + sRelayQueryInterval));
         const auto update = co_await stream->receiveMessage<wire::FollowUpdate>(deadline);
         if (!update && update.error() == PeerError::TimedOut && now() < timeoutAt) {
-            continue; // the next question is due
+            continue; // the next query is due
         }
         const bool isAwaitingData = update && *update && (*update)->waiting();
         if (isAwaitingData && isStartingUp(feed)) {
@@ -604,7 +618,7 @@
     co_return hasReceived;
 }
 
-// Nothing where it holds something that cannot be read.
+// Returns nothing if the value cannot be decompressed.
 std::optional<FeedRecord> FeedService::readRelayed(Feed feed,
                                                    const wire::RelayedRecord &relayed) const
 {
@@ -623,16 +637,16 @@
     return record;
 }
 
-// False when it holds something that cannot be read; how far it reaches counts for
-// nothing then, so that the store is asked for the same records.
+// Returns false if the update holds an unreadable record. The end offset of the update is then
+// ignored, so that the same records are read from the store.
 bool FeedService::applyUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &queries,
                               const Tcp::endpoint &from)
 {
     const LoopStep step("taking an update");
     FeedState &state = this->state(feed);
     state.isRelayDoubtful = update.store_doubtful();
-    // Ages were told when the update was sent. It may have been on its way for long, so
-    // they count from the last question that the sender had heard by then.
+    // The ages in the update are as of its sending. It may have been in transit for long, so
+    // they are counted from the last query that the sender had received by then.
     const bool isAnswer = update.records().empty() && !update.whole();
     const std::optional<Instant> knownAsOf = isAnswer ? queries.answered() : queries.heard();
     for (const wire::RelayedRecord &relayed : update.records()) {
@@ -646,8 +660,8 @@
     if (update.whole()) {
         applyFullUpdate(feed, update, now() - *knownAsOf);
     }
-    // Each update holds all that the other process knows and had not told yet, so
-    // this book now reaches as far as its own.
+    // Each update holds everything that the peer knows and had not sent yet, so this table now
+    // reaches as far as the peer's.
     if (update.next_offset() > state.table.nextOffset()) {
         state.table.setNextOffset(update.next_offset());
     }
@@ -664,8 +678,8 @@
     return true;
 }
 
-// Whatever the store held no more when it was read in full is gone, although nobody
-// tells of its removal.
+// Removes the keys that are missing from a full update. The store no longer held them at a
+// full read, so no update reports their removal.
 void FeedService::applyFullUpdate(Feed feed, const wire::FollowUpdate &update, Microseconds age)
 {
     FeedState &state = this->state(feed);
@@ -685,9 +699,9 @@
     state.removalsKnownFrom = std::max(state.removalsKnownFrom, update.next_offset());
 }
 
-// A configuration of some thousand routes has some hundred kilobytes. Relayed to a dozen
-// followers as it is, it takes the link of its reader for about a second, and callers'
-// requests share that link. Compressed it is a tenth.
+// A configuration of some thousand routes has some hundred kilobytes. Relaying it uncompressed
+// to a dozen followers occupies the link of the reader for about a second, and callers'
+// requests share that link. Compression reduces it to a tenth.
 void FeedService::setRelayedValue(FeedState &state, const FeedRecord &record,
                                   wire::RelayedRecord &relayed)
 {
@@ -706,14 +720,14 @@
     relayed.set_compressed(cached.bytes);
 }
 
-// A book that never was complete has gaps before its end.
+// A table that has never been complete may lack records before its end.
 std::uint64_t FeedService::knownBefore(Feed feed) const
 {
     const FeedState &state = this->state(feed);
     return state.isSynced ? state.table.nextOffset() : 0;
 }
 
-// What a follower has not been told yet.
+// Collects the records that have not been sent to the follower yet.
 wire::FollowUpdate FeedService::newRecords(Follower &follower)
 {
     const LoopStep step("building an update for a follower");
@@ -752,8 +766,8 @@
     update.set_store_doubtful(isStoreDoubtful(feed));
 }
 
-// News first, so that the answers stand for all that is known here; false when nothing
-// is known that could be told.
+// Sends new records before the answers to queries, so that an answer covers everything known
+// here. Returns false if there is no data to send and none can be expected soon.
 bool FeedService::sendUpdate(Follower &follower)
 {
     wire::FollowUpdate update = buildUpdate(follower);
@@ -777,7 +791,7 @@
     }
 }
 
-// Nothing is known here yet; false when nothing will be soon.
+// Tells the follower that there is no data yet; returns false if none can be expected soon.
 bool FeedService::sendWaiting(Follower &follower) const
 {
     wire::FollowUpdate update;
@@ -786,8 +800,8 @@
     return isAwaitingData(follower.feed);
 }
 
-// Of removals before its own full read this process knows nothing: a follower whose
-// book ends before that is told all keys.
+// This process does not know of removals before its own full read. A follower whose table ends
+// before that read is therefore sent all keys.
 wire::FollowUpdate FeedService::buildUpdate(Follower &follower)
 {
     const FeedState &state = this->state(follower.feed);
@@ -847,7 +861,7 @@
 {
     const PeerStreamPtr &stream = follower->stream;
     while (stream->isOpen() && !mStopped && sendUpdate(*follower)) {
-        // On a narrow link several changes join to one: only the newest counts.
+        // Waiting for the transfer merges changes on a slow link: only the newest is sent.
         if (!co_await stream->sentBy(std::chrono::steady_clock::now() + sFollowerSendTimeout)) {
             co_return;
         }
@@ -869,7 +883,7 @@
         co_return;
     }
     const auto executor = stream->connection()->executor();
-    // A whole book for each stream that begins anew fills the links that callers use.
+    // Sending the whole table on each new stream would saturate the links that callers use.
     const std::uint64_t knownBefore = (*request)->known_before();
     SentRanks sent{lastKnownRank(knownBefore), knownBefore, {}};
     const auto follower = std::make_shared<Follower>(Follower{
--- a/src/libloomjunction/gateway/feedservice.h
+++ b/src/libloomjunction/gateway/feedservice.h
@@ -34,43 +34,43 @@
 class RelayedRecord;
 }
 
-/** From where a process learns records first; the other way is used when it fails. */
+/** Preferred source of records; the other source is the fallback. */
 enum class FeedPreference : std::uint8_t
 {
     Store,
     Peers,
 };
 
-/** Who reads a feed from the store where many processes need it. */
+/** Division of a feed between the processes that read the store and their followers. */
 struct FeedReaders
 {
-    bool isReader = true; ///< this process does
-    bool isRelayed = false; ///< others follow those that do
-    std::vector<Tcp::endpoint> others; ///< the processes that read, this one left out
-    /** Near processes that read before this one while it begins, in order. */
+    bool isReader = true; ///< this process reads the store
+    bool isRelayed = false; ///< other processes follow the readers
+    std::vector<Tcp::endpoint> others; ///< readers other than this process
+    /** Nearby processes that read the store before this one during startup, in order. */
     std::vector<Tcp::endpoint> earlier;
 };
 
-/** How a record came to this process. */
+/** Source of a record and its distance from the store. */
 struct RecordOrigin
 {
-    std::string from = "store"; ///< or the address of the process that it was followed from
-    std::uint32_t hops = 0; ///< processes between the store and this one
+    std::string from = "store"; ///< or the address of the process that relayed it
+    std::uint32_t hops = 0; ///< number of times that the record was relayed
 };
 
-/** A record that changed, as listeners get it. */
+/** A changed record, as passed to listeners. */
 struct FeedChange
 {
     const FeedRecord &record;
-    Microseconds age; ///< since the store may have taken it, the way to here included
-    bool isTrusted; ///< the store was well for a while when it said so
+    Microseconds age; ///< upper bound of the time since the store accepted it
+    bool isTrusted; ///< the store had no recent failure when the change was read
     const RecordOrigin &origin;
 };
 
 /**
- * Follows the feeds of the platform's store and passes them on to processes
- * that cannot reach it. Each feed is a FeedTable, so what was learned in one
- * way is never undone by the other.
+ * Follows the feeds of the platform's store and relays them to other processes.
+ * Records from the store and from peers are merged in one FeedTable per feed, so
+ * an older record from one source never replaces a newer one from the other.
  */
 class FeedService final : public Service
 {
@@ -79,7 +79,7 @@
     using Listener = std::function<void(const FeedChange &change)>;
     using PeerAddresses = std::function<std::vector<Tcp::endpoint>()>;
     using Readers = std::function<FeedReaders()>;
-    /** Whether a new value of a record says the same as its old one. */
+    /** Whether a new value of a record means the same as the known one. */
     using EquivalencePredicate
         = std::function<bool(const FeedRecord &known, const FeedRecord &next)>;
 
@@ -89,47 +89,52 @@
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override;
 
-    /** Counts what the store's answers hold as `store_bytes`, by feed and kind of read. */
+    /** Counts the bytes of store responses as `store_bytes`, by feed and kind of read. */
     void countInto(Metrics &metrics) { mMetrics = &metrics; }
-    /** Calls @p listener for every change of @p feed; add before start. */
+    /** Calls @p listener for every change of @p feed; must be called before start(). */
     void listen(Feed feed, Listener listener);
-    /** Records that say the same again are neither told to listeners nor relayed. */
+    /** Neither announces nor relays records of @p feed that are equivalent to the known one. */
     void skipUnchanged(Feed feed, EquivalencePredicate isEquivalent)
     {
         state(feed).isEquivalent = std::move(isEquivalent);
     }
-    /** Least time between two reads of replicas' records; a draining one gets requests till then.
+    /**
+     * Sets the minimum delay between two reads of replicas' records. A draining replica may
+     * get requests until the next read.
      */
-    void setReplicasReadDelay(Milliseconds pause) { mReplicasReadDelay = pause; }
-    /** Most that the knowledge of operators' records may wait for a quiet store's answer. */
-    void setOperatorsPollTimeout(Milliseconds wait);
-    /** Entries that may be asked for records. */
+    void setReplicasReadDelay(Milliseconds delay) { mReplicasReadDelay = delay; }
+    /** Sets the longest time that a read of operators' records waits for a new record. */
+    void setOperatorsPollTimeout(Milliseconds timeout);
+    /** Sets the processes that can be followed instead of reading the store. */
     void setPeers(PeerAddresses peers) { mPeers = std::move(peers); }
 
-    /** Who reads feeds that need not be read by everybody; without it all do. */
+    /** Sets who reads the store; without it, every process does. */
     void setReaders(Readers readers) { mReaders = std::move(readers); }
 
-    /** How long ago the feed was last known to be complete; nothing: never. */
+    /** Time since the feed was last known to be complete; nothing if it never was. */
     std::optional<Microseconds> age(Feed feed) const;
-    /** A read of the store failed some seconds ago or less. */
+    /** Whether a read of the store failed within the last seconds. */
     bool hasStoreFailed() const;
     bool isStoreReached(Feed feed) const { return state(feed).isStoreReached; }
-    /** This process began so lately that it trusts a plan more than what it heard. */
+    /**
+     * Whether this process started so recently that the planned readers count more than the
+     * member states received so far.
+     */
     bool isInStartup() const { return now() < mStartupDeadline; }
     const FeedTable &table(Feed feed) const { return state(feed).table; }
 
 private:
     struct CompressedValue
     {
-        std::uint64_t offset = 0; ///< of the record it was made of
+        std::uint64_t offset = 0; ///< of the record that was compressed
         std::string bytes;
     };
 
-    /** What one follower knows: of each key the newest record, by its rank. */
+    /** Ranks of the newest records that a follower knows, see recordRank(). */
     struct SentRanks
     {
-        std::uint64_t all = 0; ///< every record up to this rank
-        std::uint64_t knownBefore = 0; ///< all is known before this offset
+        std::uint64_t all = 0; ///< the follower knows every record up to this rank
+        std::uint64_t knownBefore = 0; ///< the follower knows all changes before this offset
         std::map<std::string, std::uint64_t, std::less<>> byKey;
     };
 
@@ -139,29 +144,30 @@
         std::vector<Listener> listeners;
         EquivalencePredicate isEquivalent;
         std::map<std::string, Instant> learnedAt;
-        std::map<std::string, RecordOrigin> origins; ///< of the newest record of each key
-        /** Long values as they are relayed, by key; made once for all followers. */
+        std::map<std::string, RecordOrigin> origins; ///< of the newest record, by key
+        /** Compressed long values by key, shared by all followers. */
         std::map<std::string, CompressedValue> compressed;
         std::optional<Instant> completeAt;
         Instant storeFailedAt;
         bool hasStoreFailed = false;
         bool isStoreReached = false;
-        bool isSynced = false; ///< the book holds all that the store kept before its end
-        std::uint64_t removalsKnownFrom = 0; ///< removals at it or later are in the book
-        bool isFirstSync = true; ///< the book was never complete yet in this life
-        bool isRelayDoubtful = false; ///< what the followed process says of its store
-        bool hasReturnedEarly = false; ///< the last read of the store came back before its wait
+        bool isSynced = false; ///< the table holds all records before its next offset
+        std::uint64_t removalsKnownFrom = 0; ///< removals at or after this offset are in the table
+        bool isFirstSync = true; ///< the table has not been complete since this process started
+        bool isRelayDoubtful = false; ///< the followed process reports a recent store failure
+        bool hasReturnedEarly = false; ///< the last store read ended before its timeout
         std::uint64_t changeCount = 0;
     };
 
-    /** Another process that follows a feed here. */
+    /** Another process that follows a feed of this one. */
     struct Follower
     {
         PeerStreamPtr stream;
         Feed feed = Feed::Operators;
         SentRanks sent;
-        std::optional<std::uint64_t> sentChangeCount; ///< changes of the feed that it was told
-        std::uint32_t pendingQueryCount = 1; ///< the one that opened the stream is the first
+        std::optional<std::uint64_t>
+            sentChangeCount; ///< change count of the feed when it was last sent
+        std::uint32_t pendingQueryCount = 1; ///< includes the request that opened the stream
         Signal wakeSignal;
     };
     using FollowerPtr = std::shared_ptr<Follower>;
@@ -204,7 +210,7 @@
     awaitable<void> sendUpdates(FollowerPtr follower);
     void wakeFollowers(Feed feed);
     void wakeAllFollowers();
-    void updateStoreState(Feed feed, bool reached, std::string_view why);
+    void updateStoreState(Feed feed, bool isReached, std::string_view reason);
     void countRead(Feed feed, std::string_view kind, std::uint64_t bytes);
     void apply(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin = {});
     void applyRelayed(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin);
@@ -220,16 +226,16 @@
     std::string mBox;
     FeedPreference mPreference;
     PeerHub *mHub = nullptr;
-    Metrics *mMetrics = nullptr; ///< null: nothing is counted
+    Metrics *mMetrics = nullptr; ///< null if nothing is counted
     PeerAddresses mPeers;
     Readers mReaders;
     std::array<FeedState, sFeedCount> mFeeds;
-    std::unique_ptr<Signal> mChanged; ///< something was learned, or the store was lost
+    std::unique_ptr<Signal> mChanged; ///< a feed changed, or a store read failed
     std::set<FollowerPtr> mFollowers;
     Milliseconds mReplicasReadDelay{200};
     Milliseconds mOperatorsPollTimeout{2'000};
     std::uint64_t mPeerIndex = 0;
-    Instant mStartupDeadline; ///< others are waited for till then
+    Instant mStartupDeadline; ///< until then, waits for other processes to read first
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/ports.h
+++ b/src/libloomjunction/gateway/ports.h
@@ -28,37 +28,37 @@
 namespace Loom {
 
 /**
- * What the product asks of a platform. Everything that knows a platform's
- * names implements these; everything else knows only them.
+ * Interfaces between the product and a platform. Code that depends on the names
+ * of one platform implements them; all other code uses only the interfaces.
  */
 
-/** Sets of keyed records in the platform's store. */
+/** A log of keyed records in the platform's store. */
 enum class Feed : std::uint8_t
 {
     Operators, ///< configurations and named weights
-    Replicas, ///< what replicas say of themselves
-    Members, ///< the system's own processes, and what they keep
+    Replicas, ///< state that replicas publish about themselves
+    Members, ///< the system's own processes, and records that they store
 };
 inline constexpr std::size_t sFeedCount = 3;
-/** Keys of Feed::Members that hold no process, but a request that is refused. */
+/** Prefix of the keys of Feed::Members that hold a quarantined request, not a process. */
 inline constexpr std::string_view sQuarantineKeys = "quarantine/";
 std::string_view feedName(Feed feed);
 
 enum class StoreError : std::uint8_t
 {
-    Unreachable, ///< no answer; a write may have been done
-    Refused, ///< nothing was done; later it may be
-    Forgotten, ///< the records asked for are not kept any more
-    Malformed, ///< an answer that cannot be read
+    Unreachable, ///< no response; a write may have been applied
+    Refused, ///< rejected without effect; a retry may succeed
+    Forgotten, ///< the store no longer retains the requested records
+    Malformed, ///< the response cannot be parsed
 };
 std::string_view storeErrorName(StoreError error);
 
 struct FeedBatch
 {
     std::vector<FeedRecord> records;
-    std::uint64_t next = 0; ///< offset behind the records
-    bool hasMore = false; ///< the store held more, which the next read gives
-    std::uint64_t bytes = 0; ///< of the store's answers
+    std::uint64_t next = 0; ///< offset after the last record
+    bool hasMore = false; ///< the store holds more records, which the next read returns
+    std::uint64_t bytes = 0; ///< size of the store's responses
 };
 
 /** The platform's store. */
@@ -66,19 +66,22 @@
 {
 public:
     virtual ~StorePort() = default;
-    /** Records from @p from on, waiting up to @p wait for a first one. */
+    /** Reads records from offset @p from on; waits up to @p wait for the first one. */
     virtual awaitable<tl::expected<FeedBatch, StoreError>> read(Feed feed, std::uint64_t from,
                                                                 Milliseconds wait)
         = 0;
-    /** The newest record of every key; next is the end before the first page. */
+    /**
+     * Reads the newest record of every key. FeedBatch::next is the end offset of the feed
+     * before the first page was read.
+     */
     virtual awaitable<tl::expected<FeedBatch, StoreError>> newest(Feed feed) = 0;
-    /** Writes a record of Feed::Members; without a value it takes the key away. */
+    /** Writes a record of Feed::Members; removes the key if there is no value. */
     virtual awaitable<tl::expected<void, StoreError>> put(std::string key,
                                                           std::optional<std::string> value)
         = 0;
 };
 
-/** Weights that operators named for a model. */
+/** Version of the weights that operators chose for a model. */
 struct NamedWeights
 {
     std::string model;
@@ -89,7 +92,7 @@
 };
 using OperatorRecord = std::variant<RouteConfig, NamedWeights, UnrelatedRecord>;
 
-/** Reads the platform's records. Errors name the field. */
+/** Parses the platform's records. Error messages name the field. */
 class RecordPort
 {
 public:
@@ -100,77 +103,77 @@
     replicaRecord(std::string_view key, std::string_view value) const = 0;
 };
 
-/** What a caller's request says of itself. */
+/** Fields of a caller's request. */
 struct CallerFields
 {
-    std::string id; ///< of this try; empty: none, or more than one
+    std::string id; ///< of this attempt; empty if missing or given more than once
     std::string host;
-    std::string key; ///< of a client account; empty: none
-    std::optional<Milliseconds> deadline; ///< how long the caller waits
-    std::optional<std::uint64_t> lastEvent; ///< the caller resumes a stream behind this one
+    std::string key; ///< of a client account; empty if missing
+    std::optional<Milliseconds> deadline; ///< time that the caller waits for the answer
+    std::optional<std::uint64_t> lastEvent; ///< the caller resumes a stream after this event
     std::string model;
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
 };
 
-/** Which of the requests that wait at a replica it takes first. */
+/** Order of requests in the queue of a replica, most urgent first. */
 enum class Urgency : std::uint8_t
 {
-    Resumed, ///< the rest of an answer that the caller has begun to read
+    Resumed, ///< continues an answer that the caller has partly received
     Prompt,
-    Patient, ///< its goal is missed already
+    Patient, ///< has already missed its latency goal
 };
 
-/** What the system adds to a request on its way to a replica. */
+/** Fields that a gateway adds to a request to a replica. */
 struct OutgoingFields
 {
     Milliseconds deadline{0};
     std::string replicaId;
-    std::string account; ///< empty: none
+    std::string account; ///< client account; empty if there is none
     std::optional<std::uint64_t> lastEvent;
-    std::optional<std::uint64_t> weightsVersion; ///< the only one that may run it
-    std::optional<Urgency> urgency; ///< order in the replica's queue; nothing: it has none
+    std::optional<std::uint64_t> weightsVersion; ///< only this version may run the request
+    std::optional<Urgency> urgency; ///< nothing if the request has no urgency
 };
 
-/** The answer names no limit. */
+/** The response states no limit. */
 struct NoRate
 {
     bool operator==(const NoRate &) const = default;
 };
-/** The answer names a limit that cannot be read. */
+/** The response states a limit that cannot be parsed. */
 struct UnreadableRate
 {
     bool operator==(const UnreadableRate &) const = default;
 };
-/** Requests a second that the replica takes from all gateways together. */
+/** Requests per second that the replica accepts from all gateways together. */
 struct RatePerSecond
 {
     double value = 0;
     bool operator==(const RatePerSecond &) const = default;
 };
-/** What an answer says of the rate at which its replica takes requests. */
+/** Request rate limit that a replica states in a response. */
 using AdvertisedRate = std::variant<NoRate, UnreadableRate, RatePerSecond>;
 
-/** What a replica's answer says of itself. */
+/** Fields of a replica's response. */
 struct ResponseFields
 {
     std::string requestId;
-    std::string replicaId; ///< which replica answered; empty: it does not say
+    std::string replicaId; ///< of the replica that responded; empty if not stated
     bool isSigned = false;
-    bool isNotRun = false; ///< the replica says that it did not run the request
+    bool isNotRun = false; ///< the replica states that it did not run the request
     bool isStream = false;
     AdvertisedRate rate;
     ReplicaNotice notice;
 };
 
-/** A caller's question where to connect. */
+/** A caller's query for gateway addresses. */
 struct AddressQuery
 {
     std::string dataCentre;
     std::string region;
 };
 
-/** The requests of callers and the answers of replicas, by header. */
+/** Maps HTTP headers of callers and replicas to fields. */
 class CallPort
 {
 public:
@@ -179,9 +182,9 @@
     virtual std::vector<HttpHeader> outgoing(const HttpRequest &request,
                                              const OutgoingFields &fields) const = 0;
     virtual ResponseFields responseFields(const LinkHead &head) const = 0;
-    /** The headers of a replica's answer that a caller gets: none that speak to the gateway. */
+    /** Headers of a replica's response without those addressed to the gateway. */
     virtual std::vector<HttpHeader> responseHeaders(const LinkHead &head) const = 0;
-    /** Says when to come back. */
+    /** Header that tells the caller to retry @p after a delay. */
     virtual HttpHeader comeBack(Milliseconds after) const = 0;
 
     virtual bool isReadinessCheck(const HttpRequest &request) const = 0;
@@ -195,16 +198,16 @@
 {
     std::string model;
     std::uint64_t version = 0;
-    bool isWhole = false; ///< every layer, of this one version
+    bool isWhole = false; ///< all layers are loaded, and of this version
 };
 
-/** What an engine says of itself. */
+/** State that an engine reports. */
 struct EngineReport
 {
     std::vector<LoadedWeights> loaded;
-    std::uint64_t born = 0; ///< when it started, as it says; zero: untold
-    bool isBusy = false; ///< an order is under way
-    std::uint64_t acceptedOrderCount = 0; ///< since its start
+    std::uint64_t born = 0; ///< start time that the engine states; zero if it states none
+    bool isBusy = false; ///< a load order is in progress
+    std::uint64_t acceptedOrderCount = 0; ///< since the engine started
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint64_t memoryUsed = 0;
@@ -214,27 +217,27 @@
 
 enum class OrderResult : std::uint8_t
 {
-    Begun,
+    Begun, ///< the engine accepted the order
     AlreadyDone,
-    Refused, ///< it does not fit the engine's state
-    Unknown, ///< no answer: it may have been taken
+    Refused, ///< the order does not match the engine's state
+    Unknown, ///< no response; the engine may have accepted the order
 };
 
-/** The engine beside an agent, and the origin of weights. */
+/** Access to the agent's local engine and to the origin of weights. */
 class EnginePort
 {
 public:
     virtual ~EnginePort() = default;
     virtual awaitable<std::optional<EngineReport>> report(std::uint32_t layers) = 0;
     /**
-     * Orders the engine to load what is staged, once all that runs has ended; it takes nothing
-     * new until then. @p acceptedOrderCount: of the last report.
+     * Orders the engine to load the staged weights once all running requests have ended; the
+     * engine accepts no new requests until then. @p acceptedOrderCount comes from the last report.
      */
     virtual awaitable<OrderResult> load(std::string model, std::uint64_t version,
                                         std::uint64_t acceptedOrderCount)
         = 0;
     virtual awaitable<bool> stagePut(std::string model, std::uint32_t index, std::string data) = 0;
-    /** Nothing where the stage does not hold the piece, or cannot be asked. */
+    /** Reads a staged piece; nothing if it is not staged or the stage cannot be reached. */
     virtual awaitable<std::optional<std::string>> stageGet(std::string model, std::uint32_t index)
         = 0;
     virtual awaitable<tl::expected<Manifest, std::string>>
@@ -244,13 +247,13 @@
         = 0;
 };
 
-/** All of a platform. Owned by main(). */
+/** All interfaces of one platform. Owned by main(). */
 struct PlatformPorts
 {
     std::unique_ptr<StorePort> store;
     std::unique_ptr<RecordPort> records;
     std::unique_ptr<CallPort> calls;
-    std::unique_ptr<EnginePort> engine; ///< null for a gateway
+    std::unique_ptr<EnginePort> engine; ///< null in a gateway
 };
 
 } // namespace Loom
