--- a/src/libloomjunction/gateway/feedservice.h
+++ b/src/libloomjunction/gateway/feedservice.h
@@ -34,43 +34,43 @@
 class RelayedRecord;
 }
 
-/** From where a process learns records first; the other way is used when it fails. */
+/** Preferred source of records; the other source is the fallback. */
 enum class FeedPreference : std::uint8_t
 {
     Store,
     Peers,
 };
 
-/** Who reads a feed from the store where many processes need it. */
+/** Division of a feed between the processes that read the store and their followers. */
 struct FeedReaders
 {
-    bool isReader = true; ///< this process does
-    bool isRelayed = false; ///< others follow those that do
-    std::vector<Tcp::endpoint> others; ///< the processes that read, this one left out
-    /** Near processes that read before this one while it begins, in order. */
+    bool isReader = true; ///< this process reads the store
+    bool isRelayed = false; ///< other processes follow the readers
+    std::vector<Tcp::endpoint> others; ///< readers other than this process
+    /** Nearby processes that read the store before this one during startup, in order. */
     std::vector<Tcp::endpoint> earlier;
 };
 
-/** How a record came to this process. */
-struct RecordWay
+/** Source of a record and its distance from the store. */
+struct RecordOrigin
 {
-    std::string from = "store"; ///< or the address of the process that it was followed from
-    std::uint32_t hops = 0; ///< processes between the store and this one
+    std::string from = "store"; ///< or the address of the process that relayed it
+    std::uint32_t hops = 0; ///< number of times that the record was relayed
 };
 
-/** A record that changed, as listeners get it. */
+/** A changed record, as passed to listeners. */
 struct FeedChange
 {
     const FeedRecord &record;
-    Microseconds age; ///< since the store may have taken it, the way to here included
-    bool isTrusted; ///< the store was well for a while when it said so
-    const RecordWay &way;
+    Microseconds age; ///< upper bound of the time since the store accepted it
+    bool isTrusted; ///< the store had no recent failure when the change was read
+    const RecordOrigin &origin;
 };
 
 /**
- * Follows the feeds of the platform's store and passes them on to processes
- * that cannot reach it. Each feed is a FeedTable, so what was learned in one
- * way is never undone by the other.
+ * Follows the feeds of the platform's store and relays them to other processes.
+ * Records from the store and from peers are merged in one FeedTable per feed, so
+ * an older record from one source never replaces a newer one from the other.
  */
 class FeedService final : public Service
 {
@@ -79,8 +79,9 @@
     using Listener = std::function<void(const FeedChange &change)>;
     using PeerAddresses = std::function<std::vector<Tcp::endpoint>()>;
     using Readers = std::function<FeedReaders()>;
-    /** Whether a new value of a record says the same as its old one. */
-    using SameMeaning = std::function<bool(const FeedRecord &known, const FeedRecord &next)>;
+    /** Whether a new value of a record means the same as the known one. */
+    using EquivalencePredicate
+        = std::function<bool(const FeedRecord &known, const FeedRecord &next)>;
 
     FeedService(StorePort &store, std::string box, FeedPreference preference);
 
@@ -88,77 +89,86 @@
     tl::expected<void, std::string> start(Kernel &kernel) override;
     void stop() override;
 
-    /** Counts what the store's answers hold as `store_bytes`, by feed and kind of read. */
+    /** Counts the bytes of store responses as `store_bytes`, by feed and kind of read. */
     void countInto(Metrics &metrics) { mMetrics = &metrics; }
-    /** Calls @p listener for every change of @p feed; add before start. */
+    /** Calls @p listener for every change of @p feed; must be called before start(). */
     void listen(Feed feed, Listener listener);
-    /** Records that say the same again are neither told to listeners nor relayed. */
-    void passOver(Feed feed, SameMeaning isSame) { state(feed).isSame = std::move(isSame); }
-    /** Least time between two reads of replicas' records; a draining one gets requests till then.
+    /** Neither announces nor relays records of @p feed that are equivalent to the known one. */
+    void skipUnchanged(Feed feed, EquivalencePredicate isEquivalent)
+    {
+        state(feed).isEquivalent = std::move(isEquivalent);
+    }
+    /**
+     * Sets the minimum delay between two reads of replicas' records. A draining replica may
+     * get requests until the next read.
      */
-    void setReplicasPause(Milliseconds pause) { mReplicasPause = pause; }
-    /** Most that the knowledge of operators' records may wait for a quiet store's answer. */
-    void setOperatorsWait(Milliseconds wait);
-    /** Entries that may be asked for records. */
+    void setReplicasReadDelay(Milliseconds delay) { mReplicasReadDelay = delay; }
+    /** Sets the longest time that a read of operators' records waits for a new record. */
+    void setOperatorsPollTimeout(Milliseconds timeout);
+    /** Sets the processes that can be followed instead of reading the store. */
     void setPeers(PeerAddresses peers) { mPeers = std::move(peers); }
 
-    /** Who reads feeds that need not be read by everybody; without it all do. */
+    /** Sets who reads the store; without it, every process does. */
     void setReaders(Readers readers) { mReaders = std::move(readers); }
 
-    /** How long ago the feed was last known to be complete; nothing: never. */
+    /** Time since the feed was last known to be complete; nothing if it never was. */
     std::optional<Microseconds> age(Feed feed) const;
-    /** A read of the store failed some seconds ago or less. */
+    /** Whether a read of the store failed within the last seconds. */
     bool hasStoreFailed() const;
     bool isStoreReached(Feed feed) const { return state(feed).isStoreReached; }
-    /** This process began so lately that it trusts a plan more than what it heard. */
-    bool isBeginTime() const { return now() < mBeginUntil; }
-    const FeedTable &book(Feed feed) const { return state(feed).book; }
+    /**
+     * Whether this process started so recently that the planned readers count more than the
+     * member states received so far.
+     */
+    bool isInStartup() const { return now() < mStartupDeadline; }
+    const FeedTable &table(Feed feed) const { return state(feed).table; }
 
 private:
     struct CompressedValue
     {
-        std::uint64_t offset = 0; ///< of the record it was made of
+        std::uint64_t offset = 0; ///< of the record that was compressed
         std::string bytes;
     };
 
-    /** What one follower knows: of each key the newest record, by its rank. */
-    struct ToldRanks
+    /** Ranks of the newest records that a follower knows, see recordRank(). */
+    struct SentRanks
     {
-        std::uint64_t all = 0; ///< every record up to this rank
-        std::uint64_t knownBefore = 0; ///< all is known before this offset
+        std::uint64_t all = 0; ///< the follower knows every record up to this rank
+        std::uint64_t knownBefore = 0; ///< the follower knows all changes before this offset
         std::map<std::string, std::uint64_t, std::less<>> byKey;
     };
 
     struct FeedState
     {
-        FeedTable book;
+        FeedTable table;
         std::vector<Listener> listeners;
-        SameMeaning isSame;
+        EquivalencePredicate isEquivalent;
         std::map<std::string, Instant> learnedAt;
-        std::map<std::string, RecordWay> ways; ///< of the newest record of each key
-        /** Long values as they are relayed, by key; made once for all followers. */
+        std::map<std::string, RecordOrigin> origins; ///< of the newest record, by key
+        /** Compressed long values by key, shared by all followers. */
         std::map<std::string, CompressedValue> compressed;
         std::optional<Instant> completeAt;
         Instant storeFailedAt;
         bool hasStoreFailed = false;
         bool isStoreReached = false;
-        bool isSynced = false; ///< the book holds all that the store kept before its end
-        std::uint64_t removalsFrom = 0; ///< removals at it or later are in the book
-        bool isFirst = true; ///< the book was never complete yet in this life
-        bool isRelayDoubtful = false; ///< what the followed process says of its store
-        bool wasEarly = false; ///< the last read of the store came back before its wait
-        std::uint64_t changes = 0;
+        bool isSynced = false; ///< the table holds all records before its next offset
+        std::uint64_t removalsKnownFrom = 0; ///< removals at or after this offset are in the table
+        bool isFirstSync = true; ///< the table has not been complete since this process started
+        bool isRelayDoubtful = false; ///< the followed process reports a recent store failure
+        bool hasReturnedEarly = false; ///< the last store read ended before its timeout
+        std::uint64_t changeCount = 0;
     };
 
-    /** Another process that follows a feed here. */
+    /** Another process that follows a feed of this one. */
     struct Follower
     {
         PeerStreamPtr stream;
         Feed feed = Feed::Operators;
-        ToldRanks told;
-        std::optional<std::uint64_t> seen; ///< changes of the feed that it was told
-        std::uint32_t openQuestions = 1; ///< the one that opened the stream is the first
-        Signal woken;
+        SentRanks sent;
+        std::optional<std::uint64_t>
+            sentChangeCount; ///< change count of the feed when it was last sent
+        std::uint32_t pendingQueryCount = 1; ///< includes the request that opened the stream
+        Signal wakeSignal;
     };
     using FollowerPtr = std::shared_ptr<Follower>;
 
@@ -166,65 +176,66 @@
     const FeedState &state(Feed feed) const { return mFeeds[static_cast<std::size_t>(feed)]; }
 
     awaitable<void> follow(Feed feed);
-    awaitable<void> begin(Feed feed);
-    awaitable<void> beginWithPeers(Feed feed);
+    awaitable<void> startUp(Feed feed);
+    awaitable<void> startUpFromPeers(Feed feed);
     awaitable<void> waitForMembers(Feed feed);
-    awaitable<void> pauseBeginning(Feed feed);
-    awaitable<bool> followEarlier(Feed feed);
-    Instant beginUntil(Feed feed) const;
-    bool isBeginning(Feed feed) const;
-    bool isWaiting(Feed feed) const;
+    awaitable<void> delayStartup(Feed feed);
+    awaitable<bool> followEarlierReaders(Feed feed);
+    Instant startupDeadline(Feed feed) const;
+    bool isStartingUp(Feed feed) const;
+    bool isAwaitingData(Feed feed) const;
     awaitable<bool> readStore(Feed feed);
     awaitable<bool> sync(Feed feed);
     awaitable<bool> readPeer(Feed feed);
-    awaitable<bool> followPeer(Feed feed, Tcp::endpoint address, Milliseconds longest);
+    awaitable<bool> followPeer(Feed feed, Tcp::endpoint address, Milliseconds maxDuration);
     awaitable<bool> followReader(Feed feed);
     bool isFollower(Feed feed) const;
-    bool isDoubtful(Feed feed) const;
-    static void putValue(FeedState &state, const FeedRecord &record, wire::RelayedRecord &relayed);
-    bool takeUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &questions,
-                    const Tcp::endpoint &from);
-    void takeWhole(Feed feed, const wire::FollowUpdate &update, Microseconds age);
+    bool isStoreDoubtful(Feed feed) const;
+    static void setRelayedValue(FeedState &state, const FeedRecord &record,
+                                wire::RelayedRecord &relayed);
+    bool applyUpdate(Feed feed, const wire::FollowUpdate &update, PendingQueries &queries,
+                     const Tcp::endpoint &from);
+    void applyFullUpdate(Feed feed, const wire::FollowUpdate &update, Microseconds age);
     std::optional<FeedRecord> readRelayed(Feed feed, const wire::RelayedRecord &relayed) const;
     std::uint64_t knownBefore(Feed feed) const;
-    void noteComplete(Feed feed, Instant at);
-    wire::FollowUpdate news(Follower &follower);
-    wire::FollowUpdate completeNews(Follower &follower);
-    void putState(Feed feed, wire::FollowUpdate &update) const;
-    bool tell(Follower &follower);
-    bool sayWaiting(Follower &follower) const;
-    static void answerQuestions(Follower &follower, const wire::FollowUpdate &answer);
-    bool hasToTell(const Follower &follower) const;
-    awaitable<void> hearQuestions(FollowerPtr follower);
-    awaitable<void> tellFollower(FollowerPtr follower);
+    void updateCompleteAt(Feed feed, Instant at);
+    wire::FollowUpdate newRecords(Follower &follower);
+    wire::FollowUpdate buildUpdate(Follower &follower);
+    void setUpdateState(Feed feed, wire::FollowUpdate &update) const;
+    bool sendUpdate(Follower &follower);
+    bool sendWaiting(Follower &follower) const;
+    static void answerQueries(Follower &follower, const wire::FollowUpdate &answer);
+    bool hasPendingUpdate(const Follower &follower) const;
+    awaitable<void> receiveQueries(FollowerPtr follower);
+    awaitable<void> sendUpdates(FollowerPtr follower);
     void wakeFollowers(Feed feed);
     void wakeAllFollowers();
-    void noteStore(Feed feed, bool reached, std::string_view why);
+    void updateStoreState(Feed feed, bool isReached, std::string_view reason);
     void countRead(Feed feed, std::string_view kind, std::uint64_t bytes);
-    void apply(Feed feed, const FeedRecord &record, Microseconds age, RecordWay way = {});
-    void applyRelayed(Feed feed, const FeedRecord &record, Microseconds age, RecordWay way);
-    void announce(Feed feed, const FeedRecord &record, Microseconds age);
+    void apply(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin = {});
+    void applyRelayed(Feed feed, const FeedRecord &record, Microseconds age, RecordOrigin origin);
+    void notifyListeners(Feed feed, const FeedRecord &record, Microseconds age);
     awaitable<void> serveFollower(PeerStreamPtr stream);
-    Milliseconds waitOf(Feed feed) const;
-    Milliseconds nextWait(Feed feed) const;
+    Milliseconds pollTimeout(Feed feed) const;
+    Milliseconds nextPollTimeout(Feed feed) const;
     Microseconds ageOfRead(Feed feed, Milliseconds wait) const;
-    Milliseconds pauseOf(Feed feed) const;
-    bool isPassedOver(Feed feed, const FeedRecord &record) const;
+    Milliseconds readDelay(Feed feed) const;
+    bool isUnchanged(Feed feed, const FeedRecord &record) const;
 
     StorePort &mStore;
     std::string mBox;
     FeedPreference mPreference;
     PeerHub *mHub = nullptr;
-    Metrics *mMetrics = nullptr; ///< null: nothing is counted
+    Metrics *mMetrics = nullptr; ///< null if nothing is counted
     PeerAddresses mPeers;
     Readers mReaders;
     std::array<FeedState, sFeedCount> mFeeds;
-    std::unique_ptr<Signal> mChanged; ///< something was learned, or the store was lost
+    std::unique_ptr<Signal> mChanged; ///< a feed changed, or a store read failed
     std::set<FollowerPtr> mFollowers;
-    Milliseconds mReplicasPause{200};
-    Milliseconds mOperatorsWait{2'000};
-    std::uint64_t mTurn = 0;
-    Instant mBeginUntil; ///< others are waited for till then
+    Milliseconds mReplicasReadDelay{200};
+    Milliseconds mOperatorsPollTimeout{2'000};
+    std::uint64_t mPeerIndex = 0;
+    Instant mStartupDeadline; ///< until then, waits for other processes to read first
     bool mStopped = false;
 };
 
--- a/src/libloomjunction/gateway/memberservice.cpp
+++ b/src/libloomjunction/gateway/memberservice.cpp
@@ -272,12 +272,12 @@
 bool MemberService::mayReadStore(const std::string &key) const
 {
     const auto found = mGatewayStates.find(key);
-    const bool isBeginTime = mFeeds->isBeginTime();
+    const bool isInStartup = mFeeds->isInStartup();
     if (found == mGatewayStates.end()) {
-        return isBeginTime;
+        return isInStartup;
     }
     const GatewayState &state = found->second;
-    const bool mayBeAlive = isBeginTime && !state.isUnreachable && !state.isLeaving;
+    const bool mayBeAlive = isInStartup && !state.isUnreachable && !state.isLeaving;
     return (mayBeAlive || isUsable(state)) && !state.hasStoreFailed;
 }
 
--- a/src/libloomjunction/gateway/operatorconfigservice.cpp
+++ b/src/libloomjunction/gateway/operatorconfigservice.cpp
@@ -58,7 +58,7 @@
 {
     mBounds = bounds;
     mWeights.setGracePeriod(bounds.weightsGracePeriod);
-    mFeeds->setOperatorsWait(bounds.maxConfigAge / sReadsPerMaxAge);
+    mFeeds->setOperatorsPollTimeout(bounds.maxConfigAge / sReadsPerMaxAge);
 }
 
 bool OperatorConfigService::mayBeStale() const
@@ -99,8 +99,8 @@
              {"before", before},
              {"offset", change.record.offset},
              {"ageMs", std::chrono::duration_cast<Milliseconds>(change.age).count()},
-             {"from", change.way.from},
-             {"hops", change.way.hops},
+             {"from", change.origin.from},
+             {"hops", change.origin.hops},
              {"routes", config.routes.size()},
              {"accounts", config.accounts.size()}});
     if (!isNewer) {
@@ -118,7 +118,7 @@
     if (mMetrics == nullptr || change.age >= sMaxObservedAge) {
         return;
     }
-    const std::string_view source = change.way.hops == 0 ? "from the store" : "relayed";
+    const std::string_view source = change.origin.hops == 0 ? "from the store" : "relayed";
     mMetrics->observe("config_age_ms", source, static_cast<double>(change.age.count()) / 1'000);
 }
 
--- a/src/libloomjunction/gateway/replicaservice.cpp
+++ b/src/libloomjunction/gateway/replicaservice.cpp
@@ -63,7 +63,7 @@
     mMembers = &kernel.find<MemberService>(MemberService::sName);
     mFeeds = &kernel.find<FeedService>(FeedService::sName);
     mFeeds->listen(Feed::Replicas, [this](const FeedChange &change) { applyChange(change); });
-    mFeeds->passOver(Feed::Replicas, [this](const FeedRecord &known, const FeedRecord &next) {
+    mFeeds->skipUnchanged(Feed::Replicas, [this](const FeedRecord &known, const FeedRecord &next) {
         return hasSameContent(known, next);
     });
     setBounds(mSettings.bounds);
@@ -124,7 +124,7 @@
         budget.setBounds(mBounds);
     }
     mReplicas.setDrainTime(bounds.drainTimeout);
-    mFeeds->setReplicasPause(
+    mFeeds->setReplicasReadDelay(
         std::clamp(bounds.drainTimeout / sReadsPerDrainTime, sMinReadInterval, sMaxReadInterval));
 }
 
@@ -245,7 +245,7 @@
     mReplicas.answerMissed(id, isPatient);
 }
 
-void ReplicaService::noteRate(const std::string &id, const NamedRate &rate, Instant sentAt)
+void ReplicaService::noteRate(const std::string &id, const AdvertisedRate &rate, Instant sentAt)
 {
     const LimitChange change
         = std::visit(Overload{
--- a/src/libloomjunction/gateway/replicaservice.h
+++ b/src/libloomjunction/gateway/replicaservice.h
@@ -78,7 +78,7 @@
     /** Whether the replica's rate limit, if it has one, permits sending a request now. */
     awaitable<bool> takePermit(std::string id);
     /** Applies the rate limit named in the answer to a request that was sent at @p sentAt. */
-    void noteRate(const std::string &id, const NamedRate &rate, Instant sentAt);
+    void noteRate(const std::string &id, const AdvertisedRate &rate, Instant sentAt);
     /**
      * Reason why the replica must not get a request now. Called right before sending, and
      * counts the requests that are not sent.
--- a/tests/gateway/test_begin.cpp
+++ b/tests/gateway/test_begin.cpp
@@ -76,7 +76,7 @@
 
     bool hasRecord(Feed feed, std::string_view key)
     {
-        return mKernel.find<FeedService>(FeedService::sName).book(feed).find(key) != nullptr;
+        return mKernel.find<FeedService>(FeedService::sName).table(feed).find(key) != nullptr;
     }
 
     MemberSettings settings;
--- a/tests/gateway/test_feeds.cpp
+++ b/tests/gateway/test_feeds.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds sGenerous{20};
+constexpr std::chrono::seconds sTestTimeout{20};
 
 Tcp::endpoint freeEndpoint(asio::io_context &context)
 {
@@ -31,7 +31,7 @@
     return acceptor.local_endpoint();
 }
 
-/** Text that takes as many bytes on a link as it has. */
+/** Random text that compression does not shorten. */
 std::string incompressible(std::size_t size)
 {
     std::mt19937 random{1};
@@ -40,25 +40,26 @@
     return text;
 }
 
-/** One process's feeds, over its own view of the store. */
-class FeedLab
+/** The feeds of one process, with its own copy of the store. */
+class FeedProcess
 {
 public:
-    explicit FeedLab(asio::io_context &context)
+    explicit FeedProcess(asio::io_context &context)
         : store(context.get_executor())
         , address(freeEndpoint(context))
         , mKernel(context.get_executor())
     {
         mKernel.add(std::make_unique<PeerHub>(address));
         mKernel.find<PeerHub>(PeerHub::sName).countInto(metrics);
-        // Before the feeds: the store in memory answers while they start.
+        // Added before the feeds, because the in-memory store responds while they start.
         mKernel.add(std::make_unique<OperatorConfigService>(mRecords, MemberBounds()));
         mKernel.add(std::make_unique<FeedService>(store, "box", FeedPreference::Store));
         feeds().countInto(metrics);
         config().countInto(metrics);
-        feeds().listen(Feed::Operators, [this](const FeedChange &change) { way = change.way; });
+        feeds().listen(Feed::Operators,
+                       [this](const FeedChange &change) { origin = change.origin; });
         feeds().listen(Feed::Replicas, [this](const FeedChange &change) {
-            heard.push_back(change.record.key);
+            changedKeys.push_back(change.record.key);
             isLastTrusted = change.isTrusted;
             lastAge = change.age;
         });
@@ -75,49 +76,49 @@
     {
         return config().table() && config().table()->version() == version;
     }
-    bool hasHeard(std::string_view key) const
+    bool hasReceived(std::string_view key) const
     {
-        return std::ranges::find(heard, key) != heard.end();
+        return std::ranges::find(changedKeys, key) != changedKeys.end();
     }
 
     Metrics metrics;
     MemoryStore store;
     Tcp::endpoint address;
-    std::vector<std::string> heard;
+    std::vector<std::string> changedKeys;
     bool isLastTrusted = true;
-    Microseconds lastAge{0}; ///< as the last change told it
-    RecordWay way; ///< of the last operators' record
+    Microseconds lastAge{0}; ///< of the last announced change
+    RecordOrigin origin; ///< of the last record of operators
 
 private:
     Platform::RecordDecoder mRecords;
     Kernel mKernel;
 };
 
-void writeConfig(FeedLab &lab, std::uint64_t version)
+void writeConfig(FeedProcess &fixture, std::uint64_t version)
 {
     const std::string value = R"({"version":)" + std::to_string(version)
         + R"(,"routes":[],"services":[],"tenants":[]})";
-    lab.store.write(Feed::Operators, "config", value);
+    fixture.store.write(Feed::Operators, "config", value);
 }
 
-bool hasMetric(const FeedLab &lab, std::string_view text)
+bool hasMetric(const FeedProcess &fixture, std::string_view text)
 {
-    return lab.metrics.text().find(text) != std::string::npos;
+    return fixture.metrics.text().find(text) != std::string::npos;
 }
 
-/** A reader of the store, and a follower of it whose own way to the store is another. */
-class RelayLab
+/** A reader of the store and a process that follows it; each has its own store. */
+class RelayFixture
 {
 public:
-    RelayLab()
+    RelayFixture()
     {
         reader.feeds().setReaders([] { return FeedReaders{true, true, {}}; });
         follower.feeds().setReaders([this] {
-            return FeedReaders{isFollowerItselfReading, true, {followed}};
+            return FeedReaders{isFollowerReadingStore, true, {followed}};
         });
     }
 
-    void run(std::function<awaitable<void>(RelayLab &)> test)
+    void run(std::function<awaitable<void>(RelayFixture &)> test)
     {
         bool ended = false;
         const auto whole = [&]() -> awaitable<void> {
@@ -136,147 +137,152 @@
 
     awaitable<void> waitFor(std::function<bool()> condition)
     {
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!condition() && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         BOOST_TEST(condition());
     }
 
-    /** Until the follower learns what only the reader can know. */
+    /** Waits until the follower receives a record that only the reader's store holds. */
     awaitable<void> waitUntilFollowing()
     {
         reader.store.write(Feed::Replicas, "first", "value");
-        co_await waitFor([this] { return follower.hasHeard("first"); });
+        co_await waitFor([this] { return follower.hasReceived("first"); });
     }
 
-    /** The follower ends its streams, reads its own store for a while and follows anew. */
-    awaitable<void> leaveAndComeAgain()
+    /** Makes the follower end its streams, read its own store for a while and follow again. */
+    awaitable<void> reconnectFollower()
     {
         const int before = follower.store.readCount;
-        isFollowerItselfReading = true;
+        isFollowerReadingStore = true;
         co_await waitFor([&] { return follower.store.readCount >= before + 3; });
-        isFollowerItselfReading = false;
+        isFollowerReadingStore = false;
     }
 
     asio::io_context context{1};
-    FeedLab reader{context};
-    FeedLab follower{context};
-    Tcp::endpoint followed = reader.address; ///< where the follower asks
-    bool isFollowerItselfReading = false;
+    FeedProcess reader{context};
+    FeedProcess follower{context};
+    Tcp::endpoint followed = reader.address; ///< address that the follower connects to
+    bool isFollowerReadingStore = false;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_follower_learns_from_a_reader_and_asks_the_store_nothing)
+BOOST_AUTO_TEST_CASE(follower_receives_records_from_a_reader_without_reading_the_store)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        lab.follower.store.write(Feed::Replicas, "unread", "value");
-        lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
-        BOOST_TEST(!lab.follower.hasHeard("unread"));
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        fixture.follower.store.write(Feed::Replicas, "unread", "value");
+        fixture.reader.store.write(Feed::Replicas, "second", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("second"); });
+        BOOST_TEST(!fixture.follower.hasReceived("unread"));
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_reads_the_store_itself_once_its_reader_has_lost_it)
+BOOST_AUTO_TEST_CASE(follower_reads_the_store_when_its_reader_loses_the_store)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        lab.reader.store.isUnreachable = true;
-        lab.follower.store.write(Feed::Replicas, "first", "value");
-        lab.follower.store.write(Feed::Replicas, "own", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("own"); });
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        fixture.reader.store.isUnreachable = true;
+        fixture.follower.store.write(Feed::Replicas, "first", "value");
+        fixture.follower.store.write(Feed::Replicas, "own", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("own"); });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_reads_the_store_itself_once_its_reader_is_gone)
+BOOST_AUTO_TEST_CASE(follower_reads_the_store_when_its_reader_stops)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        lab.reader.stop();
-        lab.follower.store.write(Feed::Replicas, "first", "value");
-        lab.follower.store.write(Feed::Replicas, "own", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("own"); });
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        fixture.reader.stop();
+        fixture.follower.store.write(Feed::Replicas, "first", "value");
+        fixture.follower.store.write(Feed::Replicas, "own", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("own"); });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_removal_is_doubtful_where_the_readers_store_failed_of_late)
+BOOST_AUTO_TEST_CASE(removal_is_untrusted_after_a_recent_store_failure_of_the_reader)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        BOOST_TEST(lab.follower.isLastTrusted);
-        lab.reader.store.isUnreachable = true;
-        lab.reader.store.write(Feed::Members, "wakes the reads", "value");
-        co_await lab.waitFor([&] { return !lab.reader.feeds().isStoreReached(Feed::Replicas); });
-        lab.reader.store.isUnreachable = false;
-        co_await lab.waitFor([&] { return lab.reader.feeds().isStoreReached(Feed::Replicas); });
-        const std::size_t before = lab.follower.heard.size();
-        lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
-        co_await lab.waitFor([&] { return lab.follower.heard.size() > before; });
-        BOOST_TEST(!lab.follower.isLastTrusted);
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        BOOST_TEST(fixture.follower.isLastTrusted);
+        fixture.reader.store.isUnreachable = true;
+        fixture.reader.store.write(Feed::Members, "wakes the reads", "value");
+        co_await fixture.waitFor(
+            [&] { return !fixture.reader.feeds().isStoreReached(Feed::Replicas); });
+        fixture.reader.store.isUnreachable = false;
+        co_await fixture.waitFor(
+            [&] { return fixture.reader.feeds().isStoreReached(Feed::Replicas); });
+        const std::size_t before = fixture.follower.changedKeys.size();
+        fixture.reader.store.write(Feed::Replicas, "first", std::nullopt);
+        co_await fixture.waitFor([&] { return fixture.follower.changedKeys.size() > before; });
+        BOOST_TEST(!fixture.follower.isLastTrusted);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_says_the_same_again_is_neither_told_nor_relayed)
+BOOST_AUTO_TEST_CASE(equivalent_record_is_neither_announced_nor_relayed)
 {
-    RelayLab lab;
-    lab.reader.feeds().passOver(
+    RelayFixture fixture;
+    fixture.reader.feeds().skipUnchanged(
         Feed::Replicas, [](const FeedRecord &known, const FeedRecord &next) {
-            return known.value->front() == next.value->front(); // what follows is a heartbeat
+            return known.value->front()
+                == next.value->front(); // the rest of the value is a heartbeat counter
         });
-    lab.run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
+    fixture.run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
         for (int beat = 0; beat < 5; ++beat) {
-            lab.reader.store.write(Feed::Replicas, "r", "a" + std::to_string(beat));
+            fixture.reader.store.write(Feed::Replicas, "r", "a" + std::to_string(beat));
         }
-        lab.reader.store.write(Feed::Replicas, "r", "b0");
-        co_await lab.waitFor([&] { return std::ranges::count(lab.reader.heard, "r") == 2; });
-        lab.reader.store.write(Feed::Replicas, "last", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("last"); });
-        // Both know the newest value that means something else.
-        for (FeedLab *one : {&lab.reader, &lab.follower}) {
-            BOOST_TEST(*one->feeds().book(Feed::Replicas).all().find("r")->second.value == "b0");
+        fixture.reader.store.write(Feed::Replicas, "r", "b0");
+        co_await fixture.waitFor(
+            [&] { return std::ranges::count(fixture.reader.changedKeys, "r") == 2; });
+        fixture.reader.store.write(Feed::Replicas, "last", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("last"); });
+        // Both know the newest value with a different meaning.
+        for (FeedProcess *one : {&fixture.reader, &fixture.follower}) {
+            BOOST_TEST(*one->feeds().table(Feed::Replicas).all().find("r")->second.value == "b0");
         }
-        BOOST_TEST(std::ranges::count(lab.follower.heard, "r") <= 2);
-        // A removal always counts.
-        lab.reader.store.write(Feed::Replicas, "r", std::nullopt);
-        co_await lab.waitFor([&] { return std::ranges::count(lab.reader.heard, "r") == 3; });
+        BOOST_TEST(std::ranges::count(fixture.follower.changedKeys, "r") <= 2);
+        // A removal is always announced.
+        fixture.reader.store.write(Feed::Replicas, "r", std::nullopt);
+        co_await fixture.waitFor(
+            [&] { return std::ranges::count(fixture.reader.changedKeys, "r") == 3; });
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_long_record_is_relayed_in_a_fraction_of_its_bytes)
+BOOST_AUTO_TEST_CASE(long_record_is_relayed_compressed)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
         const std::uint64_t before = PeerConnection::totalBytes();
         std::string text;
         for (int route = 0; route < 10'000; ++route) {
             text += R"({"name":"route-)" + std::to_string(route) + R"(","host":"example"},)";
         }
-        lab.reader.store.write(Feed::Replicas, "long", text);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
-        const auto &book = lab.follower.feeds().book(Feed::Replicas).all();
-        BOOST_TEST((*book.find("long")->second.value == text));
-        // Counted at both ends.
+        fixture.reader.store.write(Feed::Replicas, "long", text);
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("long"); });
+        const auto &table = fixture.follower.feeds().table(Feed::Replicas).all();
+        BOOST_TEST((*table.find("long")->second.value == text));
+        // The bytes are counted at both ends.
         BOOST_TEST(PeerConnection::totalBytes() - before < text.size() / 2);
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_reader_counts_what_it_relays_and_what_it_reads)
+BOOST_AUTO_TEST_CASE(reader_counts_relayed_and_read_bytes)
 {
-    RelayLab lab;
-    lab.reader.store.write(Feed::Replicas, "old", "12345"); // 8 bytes with its key
-    lab.run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitFor([&] { return lab.reader.hasHeard("old"); });
-        co_await lab.waitUntilFollowing(); // 10 bytes more
-        const Metrics &metrics = lab.reader.metrics;
+    RelayFixture fixture;
+    fixture.reader.store.write(Feed::Replicas, "old", "12345"); // 8 bytes including the key
+    fixture.run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitFor([&] { return fixture.reader.hasReceived("old"); });
+        co_await fixture.waitUntilFollowing(); // reads another 10 bytes
+        const Metrics &metrics = fixture.reader.metrics;
         BOOST_TEST(metrics.counter("store_bytes", "replicas, full") == 8U);
         BOOST_TEST(metrics.counter("store_bytes", "replicas, onward") == 10U);
         const std::uint64_t before = metrics.counter("peer_bytes", "follow, data centre unknown");
         const std::string text(1'000, 'x'); // too short to be compressed
-        lab.reader.store.write(Feed::Replicas, "long", text);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
+        fixture.reader.store.write(Feed::Replicas, "long", text);
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("long"); });
         const std::uint64_t after = metrics.counter("peer_bytes", "follow, data centre unknown");
         BOOST_TEST(after - before >= text.size());
         BOOST_TEST(metrics.counter("store_bytes", "replicas, onward") == 1'014U);
@@ -284,296 +290,306 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_tells_from_where_and_over_how_many_processes_it_came)
+BOOST_AUTO_TEST_CASE(configuration_carries_its_source_and_hop_count)
 {
-    RelayLab lab;
-    FeedLab last(lab.context);
-    last.feeds().setReaders([&] { return FeedReaders{false, true, {lab.follower.address}}; });
-    lab.run([&last](RelayLab &lab) -> awaitable<void> {
+    RelayFixture fixture;
+    FeedProcess last(fixture.context);
+    last.feeds().setReaders([&] { return FeedReaders{false, true, {fixture.follower.address}}; });
+    fixture.run([&last](RelayFixture &fixture) -> awaitable<void> {
         last.start();
-        co_await lab.waitUntilFollowing();
-        co_await lab.waitFor([&] { return last.hasHeard("first"); });
-        writeConfig(lab.reader, 1);
-        co_await lab.waitFor([&] { return last.hasConfig(1); });
+        co_await fixture.waitUntilFollowing();
+        co_await fixture.waitFor([&] { return last.hasReceived("first"); });
+        writeConfig(fixture.reader, 1);
+        co_await fixture.waitFor([&] { return last.hasConfig(1); });
         last.stop();
     });
-    BOOST_TEST(lab.reader.way.from == "store");
-    BOOST_TEST(lab.reader.way.hops == 0U);
-    BOOST_TEST(lab.follower.way.from == endpointText(lab.reader.address));
-    BOOST_TEST(lab.follower.way.hops == 1U);
-    BOOST_TEST(last.way.from == endpointText(lab.follower.address));
-    BOOST_TEST(last.way.hops == 2U);
-    BOOST_TEST(hasMetric(lab.reader, "loom_config_age_ms_count{of=\"from the store\"} 1\n"));
-    BOOST_TEST(hasMetric(lab.follower, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
+    BOOST_TEST(fixture.reader.origin.from == "store");
+    BOOST_TEST(fixture.reader.origin.hops == 0U);
+    BOOST_TEST(fixture.follower.origin.from == endpointText(fixture.reader.address));
+    BOOST_TEST(fixture.follower.origin.hops == 1U);
+    BOOST_TEST(last.origin.from == endpointText(fixture.follower.address));
+    BOOST_TEST(last.origin.hops == 2U);
+    BOOST_TEST(hasMetric(fixture.reader, "loom_config_age_ms_count{of=\"from the store\"} 1\n"));
+    BOOST_TEST(hasMetric(fixture.follower, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
     BOOST_TEST(hasMetric(last, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_that_was_there_at_the_start_has_no_age)
+BOOST_AUTO_TEST_CASE(configuration_present_at_startup_reports_no_age)
 {
-    RelayLab lab;
-    writeConfig(lab.reader, 1);
-    lab.run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitFor([&] { return lab.follower.hasConfig(1); });
-        BOOST_TEST(lab.reader.hasConfig(1));
-        BOOST_TEST(!hasMetric(lab.reader, "config_age_ms"));
-        BOOST_TEST(!hasMetric(lab.follower, "config_age_ms"));
-        writeConfig(lab.reader, 2);
-        co_await lab.waitFor([&] { return lab.follower.hasConfig(2); });
-        BOOST_TEST(hasMetric(lab.follower, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
+    RelayFixture fixture;
+    writeConfig(fixture.reader, 1);
+    fixture.run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitFor([&] { return fixture.follower.hasConfig(1); });
+        BOOST_TEST(fixture.reader.hasConfig(1));
+        BOOST_TEST(!hasMetric(fixture.reader, "config_age_ms"));
+        BOOST_TEST(!hasMetric(fixture.follower, "config_age_ms"));
+        writeConfig(fixture.reader, 2);
+        co_await fixture.waitFor([&] { return fixture.follower.hasConfig(2); });
+        BOOST_TEST(hasMetric(fixture.follower, "loom_config_age_ms_count{of=\"relayed\"} 1\n"));
     });
 }
 
-// With hundreds of gateways, full reads after each failure fill the links to the
-// store, and every further read fails for that.
-BOOST_AUTO_TEST_CASE(after_a_failure_the_store_is_read_from_where_the_book_ends)
+// With hundreds of gateways, full reads after each failure saturate the links to the store,
+// which makes all further reads fail.
+BOOST_AUTO_TEST_CASE(store_is_read_from_the_last_offset_after_a_failure)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        const int before = lab.follower.store.fullReadCount;
-        lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
-        // Both stores hold the same log; the reader is gone, and the way to the
-        // store breaks once.
-        lab.follower.store.write(Feed::Replicas, "first", "value");
-        lab.follower.store.write(Feed::Replicas, "second", "value");
-        lab.reader.stop();
-        lab.follower.store.isUnreachable = true;
-        co_await lab.waitFor([&] { return !lab.follower.feeds().isStoreReached(Feed::Replicas); });
-        lab.follower.store.isUnreachable = false;
-        lab.follower.store.write(Feed::Replicas, "third", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("third"); });
-        BOOST_TEST(lab.follower.store.fullReadCount == before);
-        BOOST_TEST(std::ranges::count(lab.follower.heard, "second") == 1);
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        const int before = fixture.follower.store.fullReadCount;
+        fixture.reader.store.write(Feed::Replicas, "second", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("second"); });
+        // Both stores hold the same log. The reader stops, and the follower's connection to
+        // the store fails once.
+        fixture.follower.store.write(Feed::Replicas, "first", "value");
+        fixture.follower.store.write(Feed::Replicas, "second", "value");
+        fixture.reader.stop();
+        fixture.follower.store.isUnreachable = true;
+        co_await fixture.waitFor(
+            [&] { return !fixture.follower.feeds().isStoreReached(Feed::Replicas); });
+        fixture.follower.store.isUnreachable = false;
+        fixture.follower.store.write(Feed::Replicas, "third", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("third"); });
+        BOOST_TEST(fixture.follower.store.fullReadCount == before);
+        BOOST_TEST(std::ranges::count(fixture.follower.changedKeys, "second") == 1);
     });
 }
 
-// Each new stream was sent the whole book of its feed, although its follower knew all
-// but the last records. After connections had been reset, 25 `reader-lost` of one data
-// centre were followed by as many whole books over links of 27 Mbit/s, and callers'
-// requests waited behind them for 0.7 to 1.5 s.
-BOOST_AUTO_TEST_CASE(a_follower_that_comes_again_is_sent_only_what_it_lacks)
+// Guards against sending the whole table of a feed on each new stream, although the follower
+// knows all but the last records. After connection resets, 25 `reader-lost` events of one data
+// centre caused as many transfers of whole tables over links of 27 Mbit/s, which delayed
+// callers' requests by 0.7 to 1.5 s.
+BOOST_AUTO_TEST_CASE(reconnecting_follower_is_sent_only_missing_records)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
         const std::string large = incompressible(200'000);
-        lab.reader.store.write(Feed::Replicas, "large", large);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("large"); });
+        fixture.reader.store.write(Feed::Replicas, "large", large);
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("large"); });
         const std::uint64_t before = PeerConnection::totalBytes();
-        co_await lab.leaveAndComeAgain();
-        lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
-        // Counted at both ends; large is the only long record.
+        co_await fixture.reconnectFollower();
+        fixture.reader.store.write(Feed::Replicas, "second", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("second"); });
+        // The bytes are counted at both ends; "large" is the only long record.
         BOOST_TEST(PeerConnection::totalBytes() - before < large.size());
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_that_comes_again_learns_of_a_removal_that_a_full_read_found)
+BOOST_AUTO_TEST_CASE(reconnecting_follower_receives_a_removal_found_by_a_full_read)
 {
-    RelayLab().run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        const auto book
-            = [&]() -> const FeedTable & { return lab.follower.feeds().book(Feed::Replicas); };
-        co_await lab.leaveAndComeAgain();
-        lab.reader.store.hasLostHistory = true; // the removal itself is not read
-        lab.reader.store.write(Feed::Replicas, "first", std::nullopt);
-        co_await lab.waitFor([&] { return book().find("first") == nullptr; });
-        BOOST_TEST(lab.follower.isLastTrusted);
+    RelayFixture().run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        const auto table
+            = [&]() -> const FeedTable & { return fixture.follower.feeds().table(Feed::Replicas); };
+        co_await fixture.reconnectFollower();
+        fixture.reader.store.hasLostHistory
+            = true; // a full read replaces reading the removal itself
+        fixture.reader.store.write(Feed::Replicas, "first", std::nullopt);
+        co_await fixture.waitFor([&] { return table().find("first") == nullptr; });
+        BOOST_TEST(fixture.follower.isLastTrusted);
     });
 }
 
-// Two changes of a record that come together are relayed as one. Where the second said
-// what had been known before the first, it was passed over with the offset of what was
-// known: whoever had heard of the first alone then took the older meaning for the newest.
-BOOST_AUTO_TEST_CASE(a_value_that_came_back_reaches_whoever_knows_what_came_between)
+// Two changes of a record in quick succession are relayed as one. Guards against skipping a
+// second change that restores the known value without storing its offset: a process that has
+// received only the first change would then keep that outdated value as the newest.
+BOOST_AUTO_TEST_CASE(restored_value_reaches_a_process_that_knows_the_intermediate_value)
 {
-    RelayLab lab;
-    const auto isSame = [](const FeedRecord &known, const FeedRecord &next) {
+    RelayFixture fixture;
+    const auto isEquivalent = [](const FeedRecord &known, const FeedRecord &next) {
         return known.value->front() == next.value->front();
     };
-    FeedLab last(lab.context);
-    for (FeedLab *one : {&lab.reader, &lab.follower, &last}) {
-        one->feeds().passOver(Feed::Replicas, isSame);
+    FeedProcess last(fixture.context);
+    for (FeedProcess *one : {&fixture.reader, &fixture.follower, &last}) {
+        one->feeds().skipUnchanged(Feed::Replicas, isEquivalent);
         one->store.write(Feed::Replicas, "r", "a0");
     }
-    last.feeds().setReaders([&] { return FeedReaders{false, true, {lab.follower.address}}; });
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
+    last.feeds().setReaders([&] { return FeedReaders{false, true, {fixture.follower.address}}; });
+    fixture.run([&](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
         last.store.write(Feed::Replicas, "first", "value");
         last.store.write(Feed::Replicas, "r", "b0");
-        lab.reader.store.write(Feed::Replicas, "r", "b0");
-        lab.reader.store.write(Feed::Replicas, "r", "a1");
-        lab.reader.store.write(Feed::Replicas, "end", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("end"); });
+        fixture.reader.store.write(Feed::Replicas, "r", "b0");
+        fixture.reader.store.write(Feed::Replicas, "r", "a1");
+        fixture.reader.store.write(Feed::Replicas, "end", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("end"); });
         last.start();
-        co_await lab.waitFor([&] { return last.hasHeard("end"); });
-        BOOST_TEST(last.feeds().book(Feed::Replicas).find("r")->value->front() == 'a');
+        co_await fixture.waitFor([&] { return last.hasReceived("end"); });
+        BOOST_TEST(last.feeds().table(Feed::Replicas).find("r")->value->front() == 'a');
         last.stop();
     });
 }
 
-// A relayed change that says what is known was kept silently, while the end of the book
-// moved past it. Whoever followed and knew what came between was told that end alone.
-BOOST_AUTO_TEST_CASE(a_value_that_came_back_is_passed_on_to_whoever_knows_what_came_between)
+// Guards against storing a relayed change that is equivalent to the known value without
+// relaying it. The end offset of the table moves past it, and a follower that knows the
+// intermediate value would receive that offset alone.
+BOOST_AUTO_TEST_CASE(restored_value_is_relayed_to_a_follower_that_knows_the_intermediate_value)
 {
-    RelayLab lab;
-    const auto isSame = [](const FeedRecord &known, const FeedRecord &next) {
+    RelayFixture fixture;
+    const auto isEquivalent = [](const FeedRecord &known, const FeedRecord &next) {
         return known.value->front() == next.value->front();
     };
-    FeedLab last(lab.context);
-    for (FeedLab *one : {&lab.reader, &lab.follower, &last}) {
-        one->feeds().passOver(Feed::Replicas, isSame);
+    FeedProcess last(fixture.context);
+    for (FeedProcess *one : {&fixture.reader, &fixture.follower, &last}) {
+        one->feeds().skipUnchanged(Feed::Replicas, isEquivalent);
         one->store.write(Feed::Replicas, "r", "a0");
     }
-    last.feeds().setReaders([&] { return FeedReaders{false, true, {lab.follower.address}}; });
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
+    last.feeds().setReaders([&] { return FeedReaders{false, true, {fixture.follower.address}}; });
+    fixture.run([&](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
         last.store.write(Feed::Replicas, "first", "value");
         last.store.write(Feed::Replicas, "r", "b0");
         last.start();
         const auto isB = [&] {
-            const FeedRecord *record = last.feeds().book(Feed::Replicas).find("r");
+            const FeedRecord *record = last.feeds().table(Feed::Replicas).find("r");
             return record != nullptr && record->value->front() == 'b';
         };
-        co_await lab.waitFor(isB);
-        co_await sleepFor(std::chrono::milliseconds(400)); // its stream has begun
-        lab.reader.store.write(Feed::Replicas, "r", "b0");
-        lab.reader.store.write(Feed::Replicas, "r", "a1");
-        co_await lab.waitFor([&] { return !isB(); });
+        co_await fixture.waitFor(isB);
+        co_await sleepFor(std::chrono::milliseconds(400)); // until its stream is open
+        fixture.reader.store.write(Feed::Replicas, "r", "b0");
+        fixture.reader.store.write(Feed::Replicas, "r", "a1");
+        co_await fixture.waitFor([&] { return !isB(); });
         last.stop();
     });
 }
 
-// A reader that began after a removal does not know of it. Whoever holds the record and
-// followed was told how far the reader's book reaches, and kept the record for good.
-BOOST_AUTO_TEST_CASE(a_follower_learns_of_a_removal_that_its_reader_never_saw)
+// A reader that started after a removal does not know of it. Guards against sending a follower
+// that still has the record only the end offset of the reader's table: it would keep the
+// record forever.
+BOOST_AUTO_TEST_CASE(follower_learns_of_a_removal_that_its_reader_never_read)
 {
-    RelayLab lab;
-    lab.reader.store.write(Feed::Replicas, "gone", "value");
-    lab.reader.store.write(Feed::Replicas, "gone", std::nullopt);
-    lab.reader.store.write(Feed::Replicas, "kept", "value");
-    lab.follower.store.write(Feed::Replicas, "gone", "value");
-    lab.run([](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("kept"); });
-        co_await lab.waitFor(
-            [&] { return lab.follower.feeds().book(Feed::Replicas).find("gone") == nullptr; });
+    RelayFixture fixture;
+    fixture.reader.store.write(Feed::Replicas, "gone", "value");
+    fixture.reader.store.write(Feed::Replicas, "gone", std::nullopt);
+    fixture.reader.store.write(Feed::Replicas, "kept", "value");
+    fixture.follower.store.write(Feed::Replicas, "gone", "value");
+    fixture.run([](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("kept"); });
+        co_await fixture.waitFor(
+            [&] { return fixture.follower.feeds().table(Feed::Replicas).find("gone") == nullptr; });
     });
 }
 
-// What cannot be read may be the only word of a change: it must not count as known.
-BOOST_AUTO_TEST_CASE(a_relayed_record_that_cannot_be_read_is_read_from_the_store)
+// An unreadable record may be the only copy of a change that a follower is sent, so it must
+// not count as received.
+BOOST_AUTO_TEST_CASE(unreadable_relayed_record_is_read_from_the_store)
 {
     asio::io_context context{1};
     bool wasSent = false;
-    PeerServer damaging(context.get_executor(), [&](PeerStreamPtr stream) -> awaitable<void> {
-        const auto deadline = std::chrono::steady_clock::now() + sGenerous;
-        const auto request = co_await stream->receiveMessage<wire::FollowRequest>(deadline);
-        wire::FollowUpdate update;
-        wire::RelayedRecord &record = *update.add_records();
-        record.set_key("changed");
-        record.set_offset(1);
-        record.set_compressed("no frame at all");
-        update.set_next_offset(2);
-        stream->send(update);
-        co_await sleepFor(std::chrono::milliseconds(100)); // it is read before the store changes
-        const auto replicas = static_cast<std::uint32_t>(Feed::Replicas);
-        wasSent = wasSent || (request && *request && (*request)->feed() == replicas);
-    });
-    BOOST_REQUIRE(damaging.listen(Tcp::endpoint(asio::ip::address_v4::loopback(), 0)).has_value());
-    FeedLab follower(context);
+    PeerServer corruptingServer(
+        context.get_executor(), [&](PeerStreamPtr stream) -> awaitable<void> {
+            const auto deadline = std::chrono::steady_clock::now() + sTestTimeout;
+            const auto request = co_await stream->receiveMessage<wire::FollowRequest>(deadline);
+            wire::FollowUpdate update;
+            wire::RelayedRecord &record = *update.add_records();
+            record.set_key("changed");
+            record.set_offset(1);
+            record.set_compressed("no frame at all");
+            update.set_next_offset(2);
+            stream->send(update);
+            co_await sleepFor(std::chrono::milliseconds(
+                100)); // the follower receives the update before the store changes
+            const auto replicas = static_cast<std::uint32_t>(Feed::Replicas);
+            wasSent = wasSent || (request && *request && (*request)->feed() == replicas);
+        });
+    BOOST_REQUIRE(
+        corruptingServer.listen(Tcp::endpoint(asio::ip::address_v4::loopback(), 0)).has_value());
+    FeedProcess follower(context);
     follower.feeds().setReaders([&] {
-        return FeedReaders{false, true, {damaging.localEndpoint()}};
+        return FeedReaders{false, true, {corruptingServer.localEndpoint()}};
     });
     follower.store.write(Feed::Replicas, "first", "value");
     const auto test = [&]() -> awaitable<void> {
         follower.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!wasSent && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         BOOST_TEST(wasSent);
         follower.store.write(Feed::Replicas, "changed", "value");
-        while (!follower.hasHeard("changed") && std::chrono::steady_clock::now() < until) {
+        while (!follower.hasReceived("changed") && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        BOOST_TEST(follower.hasHeard("changed"));
+        BOOST_TEST(follower.hasReceived("changed"));
         follower.stop();
-        damaging.stopListening();
+        corruptingServer.stopListening();
         context.stop();
     };
     asio::co_spawn(context, test(), asio::detached);
     context.run();
 }
 
-// A gateway answered 404 from an older configuration 3.007 s after a newer one was
-// accepted, where 3.0 s are allowed, and took its knowledge for fresh. Updates between
-// data centres had been on their way for 0.7 to 1.6 s, and their age was counted from
-// their arrival. Knowledge that was on its way is at least as old as that.
-BOOST_AUTO_TEST_CASE(what_was_held_on_its_way_to_a_follower_is_not_fresh)
+// Guards against counting the age of an update from its arrival. A gateway responded with 404
+// from an older configuration 3.007 s after a newer one was accepted, where 3.0 s are allowed,
+// because it considered its data fresh: updates between data centres had been in transit for
+// 0.7 to 1.6 s. Data is at least as old as its time in transit.
+BOOST_AUTO_TEST_CASE(transit_delay_to_a_follower_counts_into_the_age)
 {
-    RelayLab lab;
+    RelayFixture fixture;
     const Milliseconds responseDelay{500};
-    DelayingProxy way(lab.context.get_executor(), lab.reader.address, responseDelay);
-    lab.followed = way.address();
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        lab.follower.store.isUnreachable = true;
-        const Instant lost = now();
-        lab.reader.store.write(Feed::Replicas, "second", "value");
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("second"); });
-        BOOST_TEST((*lab.follower.feeds().age(Feed::Replicas) >= responseDelay));
-        BOOST_TEST((lab.follower.lastAge >= responseDelay));
-        // Later knowledge came over the same way, and does come.
-        co_await lab.waitFor([&] {
-            const Microseconds age = *lab.follower.feeds().age(Feed::Replicas);
+    DelayingProxy proxy(fixture.context.get_executor(), fixture.reader.address, responseDelay);
+    fixture.followed = proxy.address();
+    fixture.run([&](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        fixture.follower.store.isUnreachable = true;
+        const Instant lostAt = now();
+        fixture.reader.store.write(Feed::Replicas, "second", "value");
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("second"); });
+        BOOST_TEST((*fixture.follower.feeds().age(Feed::Replicas) >= responseDelay));
+        BOOST_TEST((fixture.follower.lastAge >= responseDelay));
+        // Later data arrives over the same connection.
+        co_await fixture.waitFor([&] {
+            const Microseconds age = *fixture.follower.feeds().age(Feed::Replicas);
             BOOST_TEST((age >= responseDelay));
-            return now() - age > lost;
+            return now() - age > lostAt;
         });
     });
 }
 
-// A compressed configuration of some 40 KB needs several turns of the stream's window. On
-// a way of 400 ms it took longer than a silence may last, was asked for anew every 1.4 s
-// and never came, while its bytes filled that way (455 KB in 8 s, counted at both ends).
-BOOST_AUTO_TEST_CASE(an_update_that_is_arriving_is_no_silence)
+// Guards against timing out during a transfer. A compressed configuration of some 40 KB needs
+// several round trips of the stream's window. With a delay of 400 ms it took longer than the
+// response timeout, was requested again every 1.4 s and never completed, while its bytes
+// saturated the connection (455 KB in 8 s, counted at both ends).
+BOOST_AUTO_TEST_CASE(update_in_transfer_does_not_time_out)
 {
-    RelayLab lab;
-    DelayingProxy way(lab.context.get_executor(), lab.reader.address, Milliseconds(400));
-    lab.followed = way.address();
+    RelayFixture fixture;
+    DelayingProxy proxy(fixture.context.get_executor(), fixture.reader.address, Milliseconds(400));
+    fixture.followed = proxy.address();
     std::mt19937 random(1);
     std::string text;
     for (int byte = 0; byte < 60'000; ++byte) {
-        text += static_cast<char>(random() % 256); // nothing that compresses
+        text += static_cast<char>(random() % 256); // incompressible
     }
-    lab.run([&](RelayLab &lab) -> awaitable<void> {
-        co_await lab.waitUntilFollowing();
-        lab.follower.store.isUnreachable = true;
-        lab.reader.store.write(Feed::Replicas, "long", text);
-        co_await lab.waitFor([&] { return lab.follower.hasHeard("long"); });
+    fixture.run([&](RelayFixture &fixture) -> awaitable<void> {
+        co_await fixture.waitUntilFollowing();
+        fixture.follower.store.isUnreachable = true;
+        fixture.reader.store.write(Feed::Replicas, "long", text);
+        co_await fixture.waitFor([&] { return fixture.follower.hasReceived("long"); });
     });
 }
 
-// The same between the store and whoever reads it: an answer tells what the store held
-// when it looked, which may be long before the answer comes.
-BOOST_AUTO_TEST_CASE(a_record_is_as_old_as_its_way_from_the_store)
+// Guards against counting the age of records from the arrival of the store's response. The
+// response shows the store at the time of the lookup, which may be long before it arrives.
+BOOST_AUTO_TEST_CASE(delay_of_the_store_response_counts_into_the_record_age)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     const Milliseconds responseDelay{1'400};
-    // Most of a read's wait may have passed before the record came, but no more is known.
-    const Milliseconds leastAge{900};
+    // Part of the read's wait may have passed before the record was written; no more than that
+    // may be subtracted from its age.
+    const Milliseconds minAge{900};
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!reader.feeds().age(Feed::Replicas) && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         reader.store.responseDelay = responseDelay;
         reader.store.write(Feed::Replicas, "late", "value");
-        while (!reader.hasHeard("late") && std::chrono::steady_clock::now() < until) {
+        while (!reader.hasReceived("late") && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        BOOST_TEST(reader.hasHeard("late"));
-        BOOST_TEST((reader.lastAge >= leastAge));
+        BOOST_TEST(reader.hasReceived("late"));
+        BOOST_TEST((reader.lastAge >= minAge));
         reader.stop();
         context.stop();
     };
@@ -581,16 +597,16 @@
     context.run();
 }
 
-BOOST_AUTO_TEST_CASE(what_the_store_said_is_as_old_as_its_look)
+BOOST_AUTO_TEST_CASE(feed_age_counts_from_the_lookup_in_the_store)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     const Milliseconds responseDelay{300};
     reader.store.responseDelay = responseDelay;
     reader.store.write(Feed::Replicas, "first", "value");
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         int seen = 0;
         while (seen < 200 && std::chrono::steady_clock::now() < until) {
             if (seen == 100) {
@@ -602,7 +618,7 @@
             co_await sleepFor(std::chrono::milliseconds(5));
         }
         BOOST_TEST(seen == 200);
-        BOOST_TEST(reader.hasHeard("second"));
+        BOOST_TEST(reader.hasReceived("second"));
         reader.stop();
         context.stop();
     };
@@ -610,18 +626,18 @@
     context.run();
 }
 
-// A process that could not read the store for seconds took what it then read for new:
-// a bound that runs from a record's acceptance would have run from its arrival.
-BOOST_AUTO_TEST_CASE(what_is_read_after_an_outage_may_be_as_old_as_the_outage)
+// Guards against considering records new that are read after the store was unreachable for
+// seconds: a time limit that starts at the acceptance of a record would start at its arrival.
+BOOST_AUTO_TEST_CASE(record_read_after_an_outage_has_the_age_of_the_outage)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     reader.feeds().setReaders([] { return FeedReaders{true, true, {}}; });
     const Milliseconds outage{2'000};
-    const Milliseconds longestRead{600};
+    const Milliseconds maxReadTime{600};
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         const auto waitFor = [&](auto condition) -> awaitable<void> {
             while (!condition() && std::chrono::steady_clock::now() < until) {
                 co_await sleepFor(std::chrono::milliseconds(5));
@@ -633,8 +649,8 @@
         co_await waitFor([&] { return *reader.feeds().age(Feed::Replicas) >= outage; });
         reader.store.write(Feed::Replicas, "first", "value");
         reader.store.isUnreachable = false;
-        co_await waitFor([&] { return reader.hasHeard("first"); });
-        BOOST_TEST((reader.lastAge >= outage - longestRead));
+        co_await waitFor([&] { return reader.hasReceived("first"); });
+        BOOST_TEST((reader.lastAge >= outage - maxReadTime));
         reader.stop();
         context.stop();
     };
@@ -642,29 +658,29 @@
     context.run();
 }
 
-// One read gives so many bytes at most. What lies behind them was accepted, too, so a
-// part of it must not count as all.
-BOOST_AUTO_TEST_CASE(a_part_of_what_the_store_holds_is_not_fresh)
+// A read returns a limited number of bytes. The records after them were accepted as well, so
+// a partial read must not mark the feed as complete.
+BOOST_AUTO_TEST_CASE(partial_read_does_not_refresh_the_feed)
 {
     asio::io_context context{1};
-    FeedLab reader(context);
+    FeedProcess reader(context);
     reader.store.maxRecordsPerRead = 1;
     const auto test = [&]() -> awaitable<void> {
         reader.start();
-        const auto until = std::chrono::steady_clock::now() + sGenerous;
+        const auto until = std::chrono::steady_clock::now() + sTestTimeout;
         while (!reader.feeds().age(Feed::Replicas) && std::chrono::steady_clock::now() < until) {
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        const Instant accepted = now();
+        const Instant acceptedAt = now();
         for (const char *key : {"first", "second", "last"}) {
             reader.store.write(Feed::Replicas, key, "value");
         }
-        while (!reader.hasHeard("last") && std::chrono::steady_clock::now() < until) {
-            const Microseconds since = now() - accepted;
+        while (!reader.hasReceived("last") && std::chrono::steady_clock::now() < until) {
+            const Microseconds since = now() - acceptedAt;
             BOOST_TEST((*reader.feeds().age(Feed::Replicas) >= since));
             co_await sleepFor(std::chrono::milliseconds(5));
         }
-        BOOST_TEST(reader.hasHeard("last"));
+        BOOST_TEST(reader.hasReceived("last"));
         reader.stop();
         context.stop();
     };
--- a/tests/platform/test_records.cpp
+++ b/tests/platform/test_records.cpp
@@ -104,7 +104,7 @@
         16);
     BOOST_TEST(!partial->loaded.front().isWhole);
     BOOST_TEST(partial->isBusy);
-    BOOST_TEST(partial->ordersTaken == 3U);
+    BOOST_TEST(partial->acceptedOrderCount == 3U);
     const auto complete = Platform::parseEngineReport(
         R"({"models":[{"name":"m","version":2}],"running":2,"layers":[
             {"from":8,"target_version":16,"version":2},{"from":0,"target_version":8,"version":2}]})",
@@ -269,7 +269,7 @@
     BOOST_TEST(report->waiting == 0U);
     BOOST_TEST(report->pace == 1);
     BOOST_TEST(report->memoryUsed == 0U);
-    BOOST_TEST(report->ordersTaken == 0U);
+    BOOST_TEST(report->acceptedOrderCount == 0U);
     BOOST_TEST(report->born == 0U);
     for (const LoadedWeights &loaded : report->loaded) {
         BOOST_TEST(!(loaded.isWhole && loaded.version > 1));
