--- a/tests/gateway/test_asking.cpp
+++ b/tests/gateway/test_asking.cpp
@@ -111,16 +111,16 @@
 {
     AskingLab test;
     test.firstAgent.delay = std::chrono::milliseconds(30);
-    const auto took = [&](std::string_view id) {
+    const auto roundTrip = [&](std::string_view id) {
         const Replica *replica = test.lab.replicas().replicas().find(id);
         const bool isKnown = replica != nullptr && replica->load;
         return isKnown ? replica->load->roundTrip : Microseconds(0);
     };
     test.lab.run([&]() -> awaitable<void> {
         co_await test.untilAsked();
-        co_await test.lab.waitFor([&] { return took("i-1") > Microseconds(0); });
-        BOOST_TEST((took("i-1") >= test.firstAgent.delay));
-        co_await test.lab.waitFor([&] { return took("i-2") > Microseconds(0); });
+        co_await test.lab.waitFor([&] { return roundTrip("i-1") > Microseconds(0); });
+        BOOST_TEST((roundTrip("i-1") >= test.firstAgent.delay));
+        co_await test.lab.waitFor([&] { return roundTrip("i-2") > Microseconds(0); });
     });
 }
 
