--- a/src/libloomjunction/gateway/quarantineservice.cpp
+++ b/src/libloomjunction/gateway/quarantineservice.cpp
@@ -105,19 +105,19 @@
     return probe;
 }
 
-awaitable<void> QuarantineService::runProbe(ReplicaIncarnation incarnation, ProbePtr probe)
+awaitable<void> QuarantineService::runProbe(ReplicaIncarnation incarnation, ProbePtr look)
 {
     const auto endpoint = parseEndpoint(incarnation.address);
     if (!endpoint) {
-        probe->isUnreachable = false;
-        probe->done.notify();
+        look->isUnreachable = false;
+        look->done.notify();
         co_return;
     }
-    const auto connected = co_await connectWithin(*endpoint, sProbeTimeout);
-    probe->isUnreachable = !connected.has_value();
-    probe->finishedAt = now();
-    probe->done.notify();
-    if (connected) {
+    const auto made = co_await connectWithin(*endpoint, sProbeTimeout);
+    look->isUnreachable = !made.has_value();
+    look->finishedAt = now();
+    look->done.notify();
+    if (made) {
         co_return;
     }
     mMetrics.count("replica_crashes");
@@ -125,7 +125,7 @@
             {{"replica", incarnation.id},
              {"born", incarnation.born},
              {"address", incarnation.address},
-             {"problem", connected.error().message()}});
+             {"problem", made.error().message()}});
 }
 
 awaitable<void> QuarantineService::noteConnectionLost(RequestDigest digest, std::string account,
@@ -204,8 +204,8 @@
     const auto stagger = Milliseconds(
         static_cast<std::int64_t>(rendezvousWeight(digest.text(), mMembers->key())
                                   % static_cast<std::uint64_t>(sRemoteWriteDelay.count())));
-    const Milliseconds delay = source == "own" ? Milliseconds(0) : sRemoteWriteDelay + stagger;
-    asio::co_spawn(mExecutor, writeRecord(digest, delay), asio::detached);
+    const Milliseconds wait = source == "own" ? Milliseconds(0) : sRemoteWriteDelay + stagger;
+    asio::co_spawn(mExecutor, writeRecord(digest, wait), asio::detached);
 }
 
 bool QuarantineService::isRecorded(const QuarantineEntry &entry) const
@@ -214,12 +214,12 @@
     return recorded != mRecordedCrashCounts.end() && recorded->second >= entry.lives.size();
 }
 
-awaitable<void> QuarantineService::writeRecord(RequestDigest digest, Milliseconds delay)
+awaitable<void> QuarantineService::writeRecord(RequestDigest digest, Milliseconds wait)
 {
     if (!mWritesInProgress.insert(digest).second) {
         co_return;
     }
-    co_await sleepFor(delay);
+    co_await sleepFor(wait);
     const QuarantineEntry *entry = mQuarantine.find(digest);
     while (!mStopped && entry != nullptr && !entry->lives.empty() && !isRecorded(*entry)) {
         const std::string value = quarantineRecord(*entry, now(), wallNow());
@@ -233,9 +233,9 @@
     mWritesInProgress.erase(digest);
 }
 
-awaitable<void> QuarantineService::removeRecord(RequestDigest digest, Milliseconds delay)
+awaitable<void> QuarantineService::removeRecord(RequestDigest digest, Milliseconds wait)
 {
-    co_await sleepFor(delay);
+    co_await sleepFor(wait);
     while (!mStopped && mRecordedCrashCounts.contains(digest) && !refusedFor(digest)) {
         const auto done = co_await mStore.put(recordKey(digest), std::nullopt);
         if (done) {
--- a/src/libloomjunction/gateway/quarantineservice.h
+++ b/src/libloomjunction/gateway/quarantineservice.h
@@ -91,7 +91,7 @@
     using ProbePtr = std::shared_ptr<Probe>;
 
     ProbePtr probeReplica(const ReplicaIncarnation &incarnation);
-    awaitable<void> runProbe(ReplicaIncarnation incarnation, ProbePtr probe);
+    awaitable<void> runProbe(ReplicaIncarnation incarnation, ProbePtr look);
     awaitable<void> noteProbeResultLater(ProbePtr probe, RequestDigest digest, std::string account,
                                          ReplicaIncarnation incarnation);
     void noteProbeResult(const Probe &probe, const RequestDigest &digest,
@@ -102,8 +102,8 @@
     void handleNews(QuarantineNews news, const RequestDigest &digest, std::string_view source);
     bool isHomeGateway(const RequestDigest &digest) const;
     bool isRecorded(const QuarantineEntry &entry) const;
-    awaitable<void> writeRecord(RequestDigest digest, Milliseconds delay);
-    awaitable<void> removeRecord(RequestDigest digest, Milliseconds delay);
+    awaitable<void> writeRecord(RequestDigest digest, Milliseconds wait);
+    awaitable<void> removeRecord(RequestDigest digest, Milliseconds wait);
     awaitable<void> sweepLoop();
 
     StorePort &mStore;
