--- a/src/libloomjunction/gateway/feedservice.h
+++ b/src/libloomjunction/gateway/feedservice.h
@@ -62,7 +62,7 @@
 struct FeedChange
 {
     const FeedRecord &record;
-    Microseconds age; ///< upper bound of the time since the store accepted it
+    Microseconds age; ///< estimated time since the store accepted it, transit included
     bool isTrusted; ///< the store had no recent failure when the change was read
     const RecordOrigin &origin;
 };
